--- a/src/sycamorecroft/__init__.py
+++ b/src/sycamorecroft/__init__.py
@@ -1,4 +1,4 @@
-"""Fleet capacity and maintenance manager."""
+"""Job scheduling, request routing, host capacity and maintenance of a fleet."""
 
 __all__ = ["__version__"]
 
--- a/src/sycamorecroft/clock.py
+++ b/src/sycamorecroft/clock.py
@@ -1,4 +1,4 @@
-"""Time sources. Deadlines are monotonic; wall time is for people and records."""
+"""Time sources. Deadlines use monotonic time; wall time is for logs and records."""
 
 import time
 from abc import ABC, abstractmethod
@@ -6,7 +6,7 @@
 
 
 class Clock(ABC):
-    """Source of monotonic and wall time, passed to all code that needs time."""
+    """Source of monotonic and wall time, injected into all code that needs time."""
 
     @abstractmethod
     def monotonic_s(self) -> float:
@@ -22,7 +22,7 @@
 
 
 class SystemClock(Clock):
-    """Clock of the operating system."""
+    """Clock of the operating system, whose monotonic time excludes suspensions."""
 
     def monotonic_s(self) -> float:
         return time.monotonic()
@@ -32,7 +32,7 @@
 
 
 class ManualClock(Clock):
-    """Clock that moves only when told to, for tests and randomised runs."""
+    """Clock that moves only by :meth:`advance`, for tests and randomised runs."""
 
     def __init__(self, start: datetime = datetime(2026, 1, 1, tzinfo=UTC)) -> None:
         self._start = start
@@ -46,7 +46,7 @@
 
     def advance(self, duration_s: float) -> None:
         """
-        :param duration_s: seconds to move forward; must not be negative.
+        :param duration_s: seconds by which the clock moves forward.
         :raises ValueError: if ``duration_s`` is negative.
         """
         if duration_s < 0:
@@ -56,10 +56,10 @@
 
 
 class BoottimeClock(SystemClock):
-    """Clock of the operating system that counts the time of a suspended host.
+    """Clock of the operating system that includes the time of a suspension.
 
-    Leases must be judged by it: the ordinary monotonic clock stands still while a host
-    is suspended, and the host would believe that its leases still hold.
+    Lease expiry must be judged by it: the ordinary monotonic clock stops while a host
+    is suspended, so that the host would treat leases as valid that have expired.
     """
 
     def monotonic_s(self) -> float:
--- a/src/sycamorecroft/concurrency/__init__.py
+++ b/src/sycamorecroft/concurrency/__init__.py
@@ -1,7 +1,7 @@
-"""Small helpers for actors and threads."""
+"""Base classes and helpers for actors, shared snapshots and periodic threads."""
 
 from sycamorecroft.concurrency.actor import DaemonActor, tell_if_alive
-from sycamorecroft.concurrency.published import Published
+from sycamorecroft.concurrency.published import PublishedValue
 from sycamorecroft.concurrency.ticker import Ticker, message_ticker
 
-__all__ = ["DaemonActor", "Published", "Ticker", "message_ticker", "tell_if_alive"]
+__all__ = ["DaemonActor", "PublishedValue", "Ticker", "message_ticker", "tell_if_alive"]
--- a/src/sycamorecroft/concurrency/actor.py
+++ b/src/sycamorecroft/concurrency/actor.py
@@ -1,4 +1,4 @@
-"""Base of the actors of a daemon."""
+"""Base class of the actors of a daemon."""
 
 from abc import abstractmethod
 
@@ -10,11 +10,11 @@
 
 
 class DaemonActor(pykka.ThreadingActor):
-    """Actor that outlives a message whose handling failed.
+    """Actor that continues after the handling of a message has failed.
 
     pykka stops an actor after an unhandled exception, which would leave a daemon that
-    runs but routes nothing. The failure is logged with the kind of message; an ``ask``
-    gets ``None``.
+    runs but routes nothing. Instead the failure is logged with the type of the message,
+    and an ``ask`` returns ``None``.
     """
 
     use_daemon_thread = True
@@ -34,18 +34,18 @@
     def handle(self, message: object) -> object:
         """Handles one message.
 
-        :returns: the answer of an ``ask``.
+        :returns: the reply to an ``ask``.
         """
 
 
 def tell_if_alive(actor: pykka.ActorRef, message: object) -> bool:
-    """Sends a message to an actor that may have stopped in the meantime.
+    """Sends a message to an actor that may have stopped.
 
     :returns: whether the actor was alive.
     """
     try:
         actor.tell(message)
     except ActorDeadError:
-        _log.debug("actor_is_gone", message_type=type(message).__name__)
+        _log.debug("message_to_stopped_actor", message_type=type(message).__name__)
         return False
     return True
--- a/src/sycamorecroft/concurrency/published.py
+++ b/src/sycamorecroft/concurrency/published.py
@@ -1,25 +1,27 @@
-"""Immutable snapshots that one owner publishes and any thread reads."""
+"""Immutable value that one owner publishes and any thread reads without a lock."""
 
 from typing import Generic, TypeVar
 
-Snapshot = TypeVar("Snapshot")
+Value = TypeVar("Value")
 
 
-class Published(Generic[Snapshot]):
-    """Holder of the latest snapshot. Setting it replaces one reference.
+class PublishedValue(Generic[Value]):
+    """Latest value that an owner has published.
 
-    :param initial: snapshot before the first one is published; must be immutable.
+    Publishing replaces one reference, which is atomic, so readers need no lock.
+
+    :param initial: value before the first one is published; must be immutable.
     """
 
-    def __init__(self, initial: Snapshot) -> None:
-        self._snapshot = initial
+    def __init__(self, initial: Value) -> None:
+        self._value = initial
 
-    def get(self) -> Snapshot:
+    def get(self) -> Value:
         """
-        :returns: the latest snapshot.
+        :returns: the latest value.
         """
-        return self._snapshot
+        return self._value
 
-    def set(self, snapshot: Snapshot) -> None:
-        """Publishes a snapshot; only its owner calls this."""
-        self._snapshot = snapshot
+    def set(self, value: Value) -> None:
+        """Publishes a value; called by the owner only."""
+        self._value = value
--- a/src/sycamorecroft/concurrency/tests/test_actor.py
+++ b/src/sycamorecroft/concurrency/tests/test_actor.py
@@ -1,9 +1,9 @@
-"""Actors under failing messages."""
+"""Tests of actors whose message handling fails."""
 
 from sycamorecroft.concurrency import DaemonActor
 
 
-class Counter(DaemonActor):
+class CountingActor(DaemonActor):
     def __init__(self):
         super().__init__()
         self.count = 0
@@ -15,9 +15,9 @@
         return self.count
 
 
-def test_actor_goes_on_after_a_message_that_failed():
-    # Guards against a daemon that runs without its queue owner after one error.
-    actor = Counter.start()
+def test_actor_continues_after_a_failed_message():
+    """Guards against a daemon that runs without its queue owner after one error."""
+    actor = CountingActor.start()
     actor.tell("fail")
     assert actor.ask("fail", timeout=5) is None
     assert actor.ask("count", timeout=5) == 1
--- a/src/sycamorecroft/concurrency/ticker.py
+++ b/src/sycamorecroft/concurrency/ticker.py
@@ -1,4 +1,4 @@
-"""Periodic calls on a thread of their own."""
+"""Periodic calls on a background thread."""
 
 import random
 import threading
@@ -11,11 +11,12 @@
 
 
 class Ticker:
-    """Calls an action at an interval until stopped.
+    """Calls an action periodically until stopped.
 
-    :param interval_s: seconds between the end of one call and the next call.
-    :param jitter_ratio: each wait is drawn from the interval plus or minus this
-        share, so that daemons started together don't call the store together.
+    :param name: name of the thread, used in logs.
+    :param interval_s: seconds between the end of one call and the start of the next.
+    :param jitter_ratio: each wait differs from the interval by up to this share of it,
+        so that daemons started together don't call the store at the same time.
     """
 
     def __init__(
@@ -35,15 +36,15 @@
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
 
     def start(self) -> None:
-        """Starts the calls; the first one is immediate."""
+        """Starts the thread; the first call follows immediately."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends the calls without waiting for one that runs."""
+        """Stops further calls without waiting for a call in progress."""
         self._stopped.set()
 
     def join(self, timeout_s: float) -> None:
-        """Waits for a call that runs, at most ``timeout_s`` seconds."""
+        """Waits up to ``timeout_s`` seconds for a call in progress."""
         self._thread.join(timeout_s)
 
     def _run(self) -> None:
@@ -51,7 +52,7 @@
             try:
                 self._action()
             except Exception:
-                # The ticker must outlive a failed call; the next one may succeed.
+                # One failed call must not stop the ticker; the next one may succeed.
                 _log.exception("ticker_call_failed", ticker=self._name)
             jitter = self._random.uniform(-self._jitter_ratio, self._jitter_ratio)
             self._stopped.wait(self._interval_s * (1 + jitter))
@@ -61,6 +62,6 @@
     name: str, interval_s: float, actor: pykka.ActorRef, message: object
 ) -> Ticker:
     """
-    :returns: ticker that sends ``message`` to ``actor`` at each interval.
+    :returns: a ticker, not started, that sends ``message`` to ``actor`` periodically.
     """
     return Ticker(name, interval_s, lambda: actor.tell(message))
--- a/src/sycamorecroft/configuration/actor.py
+++ b/src/sycamorecroft/configuration/actor.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from sycamorecroft.concurrency import DaemonActor, Published
+from sycamorecroft.concurrency import DaemonActor, PublishedValue
 from sycamorecroft.configuration.fleet import FleetConfiguration
 from sycamorecroft.configuration.gate import PeerSnapshot, VersionGate
 from sycamorecroft.configuration.store import ConfigurationStore
@@ -70,7 +70,7 @@
         gate: VersionGate,
         store: ConfigurationStore,
         peers: ConfigurationPeers,
-        status: Published[ConfigurationStatus],
+        status: PublishedValue[ConfigurationStatus],
         listener: Callable[[FleetConfiguration], None],
     ) -> None:
         super().__init__()
--- a/src/sycamorecroft/daemon/control.py
+++ b/src/sycamorecroft/daemon/control.py
@@ -7,7 +7,7 @@
 import structlog
 
 from sycamorecroft.clock import Clock
-from sycamorecroft.concurrency import Published
+from sycamorecroft.concurrency import PublishedValue
 from sycamorecroft.configuration.actor import ConfigurationStatus
 from sycamorecroft.configuration.fleet import FleetConfiguration
 from sycamorecroft.daemon.controllers import ControllerRunner
@@ -30,9 +30,9 @@
 class ControlInputs(NamedTuple):
     """Snapshots that the controllers read."""
 
-    configuration: Published[ConfigurationStatus]
-    view: Published[PoolView]
-    membership: Published[MembershipView | None]
+    configuration: PublishedValue[ConfigurationStatus]
+    view: PublishedValue[PoolView]
+    membership: PublishedValue[MembershipView | None]
 
 
 class Control:
--- a/src/sycamorecroft/daemon/gauges.py
+++ b/src/sycamorecroft/daemon/gauges.py
@@ -22,8 +22,8 @@
         for metric, reader in (
             (metrics.SLOTS_IN_USE, lambda: self._queues("granted_count")),
             (metrics.SLOTS_LIMIT, lambda: self._queues("limit_count")),
-            (metrics.EJECTED, lambda: self._queues("ejected_count")),
-            (metrics.WAITING, self._waiting),
+            (metrics.WORKERS_EJECTED, lambda: self._queues("ejected_count")),
+            (metrics.REQUESTS_WAITING, self._waiting),
             (metrics.HOSTS, self._hosts),
             (metrics.BUDGET_LEFT, lambda: self._pools("budget_left_count")),
             (metrics.HOSTS_MISSING, lambda: self._pools("missing_count")),
@@ -33,9 +33,9 @@
             (metrics.VIEW_VERSION, lambda: _single(self._state.view().version)),
             (metrics.STORE_CONTACT_AGE, self._store_contact_age),
             (metrics.STORE_CALLS, self._store_calls),
-            (metrics.ENTRIES_REACHED, self._entries_reached),
-            (metrics.ENTRIES_EXPECTED, self._entries_expected),
-            (metrics.ADMITTED, lambda: _single(self._state.admitted_count())),
+            (metrics.ENTRY_HOSTS_REACHED, self._entries_reached),
+            (metrics.ENTRY_HOSTS_EXPECTED, self._entries_expected),
+            (metrics.REQUESTS_ADMITTED, lambda: _single(self._state.admitted_count())),
             (metrics.LEASES_HELD, self._leases),
         ):
             telemetry.observe(metric, reader)
--- a/src/sycamorecroft/daemon/runtime.py
+++ b/src/sycamorecroft/daemon/runtime.py
@@ -8,7 +8,7 @@
 import structlog
 
 from sycamorecroft.clock import Clock
-from sycamorecroft.concurrency import Published, Ticker, message_ticker
+from sycamorecroft.concurrency import PublishedValue, Ticker, message_ticker
 from sycamorecroft.configuration.actor import (
     NO_CONFIGURATION,
     ConfigurationActor,
@@ -104,10 +104,10 @@
         self._stopping = threading.Event()
         # Set when a later start of this entry host has registered.
         self.superseded = threading.Event()
-        self._configuration = Published[ConfigurationStatus](NO_CONFIGURATION)
-        self._view = Published[PoolView](PoolView(0, {}))
-        self._membership = Published[MembershipView | None](None)
-        self._queues = Published[OwnerStatuses]({})
+        self._configuration = PublishedValue[ConfigurationStatus](NO_CONFIGURATION)
+        self._view = PublishedValue[PoolView](PoolView(0, {}))
+        self._membership = PublishedValue[MembershipView | None](None)
+        self._queues = PublishedValue[OwnerStatuses]({})
         self._incarnation = new_incarnation(clock.now())
         self._telemetry = Telemetry()
         self._requests = RequestRecords(clock)
--- a/src/sycamorecroft/errors.py
+++ b/src/sycamorecroft/errors.py
@@ -1,4 +1,4 @@
-"""Exception tree of the package. Library errors are chained at the boundary."""
+"""Exceptions of the package. Errors of libraries are chained where they are caught."""
 
 
 class SycamorecroftError(Exception):
@@ -6,37 +6,38 @@
 
 
 class InvariantError(SycamorecroftError):
-    """An invariant of the design does not hold."""
+    """An invariant of the design is violated."""
 
 
 class SettingsError(SycamorecroftError):
-    """A settings file is missing, malformed or holds a value that is not allowed."""
+    """A settings file is missing, malformed or contains an invalid value."""
 
 
 class ConfigurationError(SycamorecroftError):
-    """A template or its parameters are not valid."""
+    """A configuration template or its parameters are invalid."""
 
 
 class ConfigurationConflictError(ConfigurationError):
-    """Another operator committed a version first."""
+    """Another operator has committed a newer configuration version."""
 
 
 class PlatformError(SycamorecroftError):
-    """Base class of errors of the platform's services."""
+    """Base class of errors of calls to the platform's services."""
 
 
 class StoreUnavailableError(PlatformError):
-    """The call was not made, or the platform is known not to have applied it."""
+    """The call was not sent, or it is certain that the platform did not apply it."""
 
 
 class StoreOutcomeUnknownError(PlatformError):
-    """A write was sent and no answer arrived; it may have taken effect."""
+    """A write was sent and no response arrived; it may have been applied."""
 
 
 class StoreConflictError(PlatformError):
     """A check of a transaction failed; nothing was written.
 
-    :param rows: current rows of the failed transaction's checks, where the store tells.
+    :param rows: current rows of the failed transaction's checks, if the store returns
+        them.
     """
 
     def __init__(self, message: str, rows: tuple[object, ...] = ()) -> None:
@@ -45,13 +46,13 @@
 
 
 class StoreHistoryLostError(PlatformError):
-    """The store no longer knows all changes after a version; read the table again."""
+    """The store has discarded changes after a version; the table must be read again."""
 
 
 class WorkerCallError(PlatformError):
     """A call to a worker failed.
 
-    :param may_have_run: whether the worker may have carried out the call.
+    :param may_have_run: whether the worker may have executed the call.
     """
 
     def __init__(self, message: str, *, may_have_run: bool) -> None:
@@ -60,29 +61,29 @@
 
 
 class StoreBudgetExceededError(StoreUnavailableError):
-    """The daemon's share of store calls for this purpose is used up."""
+    """The daemon's budget of store calls for this purpose is exhausted."""
 
 
 class NotLeaseHolderError(SycamorecroftError):
-    """The caller doesn't hold the lease, or holds it with an older epoch."""
+    """The caller does not hold the lease, or holds it with an outdated epoch."""
 
 
 class StaleEpochError(SycamorecroftError):
-    """A worker has seen a higher epoch: another host owns the service."""
+    """A worker has seen a higher epoch: another entry host owns the service."""
 
 
 class WorkerReplacedError(SycamorecroftError):
-    """Another worker, or another life of it, answers at the address."""
+    """Another worker, or another incarnation of the same one, uses the address."""
 
 
 class RequestError(SycamorecroftError):
-    """A caller's request is not valid: the message names the value and the rule."""
+    """A caller's request is invalid; the message names the value and the rule."""
 
 
 class NotRunError(SycamorecroftError):
-    """The request was certainly not run.
+    """It is certain that the request was not run.
 
-    :param reason: bounded reason code used in counters and in answers.
+    :param reason: reason code of bounded cardinality, used in counters and responses.
     """
 
     def __init__(self, reason: str, message: str) -> None:
@@ -91,9 +92,9 @@
 
 
 class OutcomeUnknownError(SycamorecroftError):
-    """The request may have run; no whole answer arrived.
+    """The request may have run, but no complete response arrived.
 
-    :param reason: bounded reason code used in counters and in answers.
+    :param reason: reason code of bounded cardinality, used in counters and responses.
     """
 
     def __init__(self, reason: str, message: str) -> None:
@@ -102,11 +103,11 @@
 
 
 class RecordError(PlatformError):
-    """A row of the table service holds a record that can't be decoded."""
+    """A row of the table service contains a record that can't be decoded."""
 
 
 class PoolOperationError(SycamorecroftError):
-    """An operation on a host or pool is not allowed in its present state."""
+    """The present state of a host or pool does not permit the operation."""
 
 
 class BudgetExceededError(PoolOperationError):
@@ -116,7 +117,7 @@
 class HostBlockedError(PoolOperationError):
     """Entry hosts may still send requests to the host.
 
-    :param blockers: the entry hosts and the reasons.
+    :param blockers: the entry hosts with the reasons.
     """
 
     def __init__(self, message: str, blockers: tuple[object, ...]) -> None:
@@ -125,4 +126,4 @@
 
 
 class MaintenanceError(SycamorecroftError):
-    """A maintenance declaration or a change to it is not valid."""
+    """A maintenance declaration or a change to it is invalid."""
--- a/src/sycamorecroft/invariants.py
+++ b/src/sycamorecroft/invariants.py
@@ -1,7 +1,7 @@
-"""Invariants of the design, shared by the decision code of all slices and by tests.
+"""Checks of the design's invariants, called by decision code and by tests.
 
 Each check raises :class:`~sycamorecroft.errors.InvariantError` and names the
-values that break the invariant. The identifiers (I1 to I10) are those of
+values that violate the invariant. The identifiers (I1 to I10) are those of
 ``docs/invariants.md``.
 """
 
@@ -12,7 +12,7 @@
 
 
 class PoolAvailability(NamedTuple):
-    """Hosts of a pool and how many of them are out of service for planned work."""
+    """Number of hosts in a pool and of those out of service for planned work."""
 
     pool: str
     hosts_count: int
@@ -26,7 +26,7 @@
 
 
 def check_availability_budget(availability: PoolAvailability) -> None:
-    """I1: planned work keeps a pool within its availability budget.
+    """I1: planned work keeps each pool within its availability budget.
 
     :raises InvariantError: if more hosts are out for planned work than allowed.
     """
@@ -53,25 +53,26 @@
 
 
 def check_answer_matches_request(
-    expected_request_id: str, answered_request_id: str | None
+    expected_request_id: str, response_request_id: str | None
 ) -> None:
-    """I3: an answer belongs to the request it is returned for.
+    """I3: a response belongs to the request it is returned for.
 
-    :param answered_request_id: id echoed by the backend server, if it echoes one.
-    :raises InvariantError: if the answer names another request.
+    :param response_request_id: request id that the backend server echoed, ``None`` if
+        it echoes none.
+    :raises InvariantError: if the response names another request.
     """
     _require(
-        answered_request_id in (None, expected_request_id),
-        f"I3: answer of request {answered_request_id!r} arrived for request "
+        response_request_id in (None, expected_request_id),
+        f"I3: response to request {response_request_id!r} arrived for request "
         f"{expected_request_id!r}",
     )
 
 
 def check_not_run_is_true(request_id: str, bytes_sent: bool, refused: bool) -> None:
-    """I4: a request reported as not run was never sent, or was refused unrun.
+    """I4: a request reported as not run was never sent or was refused before it ran.
 
-    :param bytes_sent: whether the last attempt handed a byte to a connected socket.
-    :param refused: whether the last attempt got a configured refusal status.
+    :param bytes_sent: whether the last attempt wrote a byte to a connected socket.
+    :param refused: whether the last attempt received a configured refusal status.
     :raises InvariantError: if the request may have run.
     """
     _require(
@@ -81,9 +82,9 @@
 
 
 def check_single_dispatch(request_id: str, uncertain_attempts_count: int) -> None:
-    """I5: a request that is not repeatable is sent again only if it did not run.
+    """I5: a request that is not repeatable is resent only if it certainly did not run.
 
-    :param uncertain_attempts_count: earlier attempts that may have run.
+    :param uncertain_attempts_count: number of earlier attempts that may have run.
     :raises InvariantError: if an earlier attempt may have run.
     """
     _require(
@@ -93,31 +94,32 @@
 
 
 def check_no_grant_to_draining(host: str, draining_for_s: float | None) -> None:
-    """I6: a host that drains gets no grant by an owner that knows of it.
+    """I6: an owner whose view shows a host as draining grants no slots on it.
 
-    :param draining_for_s: seconds since the owner's view has the host as draining,
-        ``None`` while it is active.
-    :raises InvariantError: if the host drains.
+    :param draining_for_s: seconds since the owner's view first showed the host as
+        draining, ``None`` while it is active.
+    :raises InvariantError: if the host is draining.
     """
     _require(
         draining_for_s is None,
-        f"I6: host {host!r} was granted though draining for {draining_for_s} s",
+        f"I6: slot granted on host {host!r}, which has been draining for "
+        f"{draining_for_s} s",
     )
 
 
 def check_drained_before_exit(in_flight_count: int) -> None:
-    """I7: a planned stop ends only when no request is in flight.
+    """I7: a planned stop completes only once no request is in flight.
 
     :raises InvariantError: if requests are in flight.
     """
     _require(
         in_flight_count == 0,
-        f"I7: planned stop with {in_flight_count} requests in flight",
+        f"I7: planned stop completed with {in_flight_count} requests in flight",
     )
 
 
 def check_version_never_falls(current_version: int, next_version: int) -> None:
-    """I8: the version in force never falls.
+    """I8: the version in force never decreases.
 
     :raises InvariantError: if ``next_version`` is lower.
     """
@@ -128,7 +130,7 @@
 
 
 def check_job_single_attempt(job_id: str, live_attempts: Iterable[int]) -> None:
-    """I9: a job has at most one attempt that is not known to have ended.
+    """I9: a job has at most one attempt that may still be running.
 
     :raises InvariantError: if several attempts may be running.
     """
@@ -142,7 +144,10 @@
 def check_slots_within_limit(
     granted_counts: Mapping[str, int], slots_counts: Mapping[str, int]
 ) -> None:
-    """I10: an owner grants no more slots of a worker than the worker has.
+    """I10: an owner grants at most as many slots of a worker as the worker has.
+
+    :param granted_counts: granted slots by host.
+    :param slots_counts: slots of the worker on each host.
 
     :raises InvariantError: if a worker has more grants than slots.
     """
--- a/src/sycamorecroft/logs.py
+++ b/src/sycamorecroft/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: JSON lines, one event name and typed fields with units."""
+"""Structured logging: JSON lines with an event name and fields named with units."""
 
 import collections
 import logging
@@ -12,10 +12,10 @@
 
 
 class LineWriter:
-    """Writes lines on a thread of its own and never blocks those who log.
+    """Writes log lines on a background thread, so that logging never blocks.
 
-    At most ``limit_count`` lines wait. Further ones are left out and counted; a line
-    says how many once the reader takes lines again.
+    At most ``limit_count`` lines are queued. Further lines are dropped and counted; the
+    count is logged once the stream accepts lines again.
     """
 
     def __init__(self, stream: TextIO, limit_count: int = LINES_LIMIT_COUNT) -> None:
@@ -28,11 +28,11 @@
         self.dropped_count = 0
 
     def start(self) -> None:
-        """Starts the thread."""
+        """Starts the background thread."""
         threading.Thread(target=self._run, name="logs", daemon=True).start()
 
     def write_line(self, line: str) -> None:
-        """Queues a line, or leaves it out when too many wait."""
+        """Queues a line, or drops it when the queue is full."""
         with self._changed:
             if len(self._lines) >= self._limit_count:
                 self.dropped_count += 1
@@ -41,12 +41,12 @@
             self._lines.append(line)
             self._changed.notify()
 
-    # structlog calls the logger by the name of the level.
+    # structlog calls the method named after the log level.
     msg = log = debug = info = warning = error = critical = exception = write_line
     warn = fatal = failure = err = write_line
 
     def flush(self, timeout_s: float) -> None:
-        """Waits until all lines are written, at most ``timeout_s`` seconds."""
+        """Waits up to ``timeout_s`` seconds until all queued lines are written."""
         with self._changed:
             self._changed.wait_for(
                 lambda: not self._lines and not self._is_writing, timeout_s
@@ -59,7 +59,7 @@
                 self._stream.write(text)
                 self._stream.flush()
             except (OSError, ValueError):
-                # Nobody reads any more, and there is nowhere else to tell.
+                # The stream is closed, and there is no other place to report that.
                 return
             with self._changed:
                 self._is_writing = False
@@ -78,25 +78,25 @@
         return "".join(line + "\n" for line in lines)
 
 
-def configure_node_logs(level: str, host: str) -> LineWriter:
-    """Sends logs of a node to standard output as JSON lines, without blocking.
+def configure_node_logs(level: str, entry_host: str) -> LineWriter:
+    """Configures a node to log JSON lines to standard output without blocking.
 
-    :param level: name of the lowest level that is written, such as ``info``.
-    :param host: name of this entry host, added to each line.
-    :returns: the writer.
+    :param level: name of the lowest level that is logged, such as ``info``.
+    :param entry_host: name of this entry host, added to each line.
+    :returns: the writer, which must be flushed before the process exits.
     """
     minimum = logging.getLevelNamesMapping()[level.upper()]
     writer = LineWriter(sys.stdout)
     writer.start()
 
-    def add_host(logger: object, method: str, event: dict) -> dict:
+    def add_entry_host(logger: object, method: str, event: dict) -> dict:
         del logger, method
-        event["host"] = host
+        event["host"] = entry_host
         return event
 
     structlog.configure(
         processors=[
-            add_host,
+            add_entry_host,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
@@ -110,11 +110,11 @@
     return writer
 
 
-def configure_logs(level: str, entry: str) -> None:
-    """Sends logs of this process to standard error as JSON lines.
+def configure_logs(level: str, entry_host: str) -> None:
+    """Configures this process to log JSON lines to standard error.
 
-    :param level: name of the lowest level that is written, such as ``info``.
-    :param entry: name of this entry host, added to each line.
+    :param level: name of the lowest level that is logged, such as ``info``.
+    :param entry_host: name of this entry host, added to each line.
     """
     minimum = logging.getLevelNamesMapping()[level.upper()]
     structlog.configure(
@@ -129,6 +129,6 @@
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
         cache_logger_on_first_use=True,
     )
-    structlog.contextvars.bind_contextvars(entry=entry)
-    # waitress logs a line for each task that waits for a thread.
+    structlog.contextvars.bind_contextvars(entry=entry_host)
+    # waitress logs a warning for each task that is queued for a thread.
     logging.getLogger("waitress.queue").setLevel(logging.ERROR)
--- a/src/sycamorecroft/membership/actor.py
+++ b/src/sycamorecroft/membership/actor.py
@@ -9,7 +9,7 @@
 import structlog
 
 from sycamorecroft.clock import Clock
-from sycamorecroft.concurrency import DaemonActor, Published
+from sycamorecroft.concurrency import DaemonActor, PublishedValue
 from sycamorecroft.membership.state import (
     Evidence,
     MemberDigest,
@@ -109,7 +109,7 @@
         peers: Mapping[str, GossipPeer],
         clock: Clock,
         own_versions: Callable[[], OwnVersions],
-        published: Published[MembershipView | None],
+        published: PublishedValue[MembershipView | None],
         listener: Callable[[MembershipView], None],
         rng: random.Random,
     ) -> None:
--- a/src/sycamorecroft/metrics.py
+++ b/src/sycamorecroft/metrics.py
@@ -1,11 +1,11 @@
-"""Catalogue of the metrics of a daemon; ``docs/metrics.md`` is rendered from it."""
+"""Catalogue of all metrics, from which ``docs/metrics.md`` is rendered."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class MetricKind(StrEnum):
-    """Kinds of instruments."""
+    """Kind of instrument that records a metric."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -13,7 +13,7 @@
 
 
 class Metric(NamedTuple):
-    """A metric. ``buckets`` are upper bounds of a histogram in its unit."""
+    """A metric; ``buckets`` are upper bounds of a histogram's buckets in ``unit``."""
 
     name: str
     kind: MetricKind
@@ -24,15 +24,15 @@
 
     @property
     def exported_name(self) -> str:
-        """Name in the Prometheus text format."""
+        """Name of the metric in the Prometheus text format."""
         name = self.name.replace(".", "_")
         if self.unit == "s":
             name += "_seconds"
         return name + ("_total" if self.kind is MetricKind.COUNTER else "")
 
 
-# From a tenth of the latency between data centres to the longest time limit of a
-# service; 1.3 s is the bound for the start of urgent work.
+# From a tenth of the latency between data centres to the longest timeout of a service;
+# 1.3 s is the limit for the start of urgent work.
 _BUCKETS_S = (
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.3, 2.5, 5.0, 10.0,
     30.0, 60.0,
@@ -41,25 +41,25 @@
 REQUESTS = Metric(
     "sycamorecroft.requests",
     MetricKind.COUNTER,
-    "Requests of callers by outcome",
+    "Caller requests, by outcome",
     ("service", "outcome"),
 )
 REFUSALS = Metric(
     "sycamorecroft.refusals",
     MetricKind.COUNTER,
-    "Requests not run, by reason",
+    "Requests refused without being run, by reason",
     ("service", "reason"),
 )
 RETRIES = Metric(
     "sycamorecroft.retries",
     MetricKind.COUNTER,
-    "Attempts that were followed by another one, by reason",
+    "Attempts that were retried, by reason",
     ("service", "reason"),
 )
 QUEUE_TIME = Metric(
     "sycamorecroft.queue.time",
     MetricKind.HISTOGRAM,
-    "Wait for a slot, granted or not",
+    "Time that a request waited for a slot, whether granted or not",
     ("service",),
     "s",
     _BUCKETS_S,
@@ -67,7 +67,7 @@
 SERVICE_TIME = Metric(
     "sycamorecroft.service.time",
     MetricKind.HISTOGRAM,
-    "One attempt at a worker",
+    "Duration of one attempt at a worker",
     ("service",),
     "s",
     _BUCKETS_S,
@@ -75,7 +75,7 @@
 STORE_CALLS = Metric(
     "sycamorecroft.store.calls",
     MetricKind.COUNTER,
-    "Calls to the table service",
+    "Calls to the table service, by purpose, operation and result",
     ("purpose", "operation", "result"),
 )
 
@@ -87,74 +87,83 @@
 
 
 SLOTS_IN_USE = _gauge(
-    "slots.in_use", "Slots granted, by the queue's owner only", "service"
+    "slots.in_use", "Granted slots, exported by the queue's owner only", "service"
 )
 SLOTS_LIMIT = _gauge(
-    "slots.limit", "Slots that the queue's owner may grant now", "service"
+    "slots.limit", "Slots that the queue's owner may grant at present", "service"
 )
-WAITING = _gauge(
+REQUESTS_WAITING = _gauge(
     "queue.waiting",
-    "Requests that wait for a slot, by the queue's owner only",
+    "Requests waiting for a slot, exported by the queue's owner only",
     "service",
     "urgency",
 )
-EJECTED = _gauge(
-    "workers.ejected", "Workers that get no requests since they failed", "service"
+WORKERS_EJECTED = _gauge(
+    "workers.ejected", "Workers excluded from routing after failures", "service"
 )
 HOSTS = _gauge("hosts", "Hosts by pool and lifecycle state", "pool", "state")
 BUDGET_LEFT = _gauge(
-    "pool.budget_left", "Hosts that may still go out for planned work", "pool"
+    "pool.budget_left",
+    "Further hosts that planned work may take out of service",
+    "pool",
 )
 HOSTS_MISSING = _gauge(
-    "pool.hosts_missing", "Configured hosts that the pool lacks", "pool"
+    "pool.hosts_missing",
+    "Hosts that the pool lacks compared with its configuration",
+    "pool",
 )
 HOSTS_RESERVE = _gauge(
-    "pool.hosts_reserve", "Active hosts beyond the configured ones", "pool"
-)
-STAGED_VERSION = _gauge(
-    "configuration.staged_version", "Configuration version that is staged"
+    "pool.hosts_reserve", "Active hosts beyond the configured number", "pool"
 )
+STAGED_VERSION = _gauge("configuration.staged_version", "Staged configuration version")
 IN_FORCE_VERSION = _gauge(
     "configuration.in_force_version", "Configuration version in force"
 )
-VIEW_VERSION = _gauge("pool_view.version", "Commit number of the view of the hosts")
+VIEW_VERSION = _gauge(
+    "pool_view.version", "Commit number of this daemon's view of the hosts"
+)
 STORE_CONTACT_AGE = _gauge(
-    "store.contact_age", "Age of the last answer of the table service", unit="s"
+    "store.contact_age", "Time since the last response of the table service", unit="s"
+)
+ENTRY_HOSTS_REACHED = _gauge(
+    "entries.reached", "Entry hosts that respond, including this one"
 )
-ENTRIES_REACHED = _gauge(
-    "entries.reached", "Entry hosts that answer, this one included"
+ENTRY_HOSTS_EXPECTED = _gauge(
+    "entries.expected", "Entry hosts that may be running, according to membership"
 )
-ENTRIES_EXPECTED = _gauge(
-    "entries.expected", "Entry hosts that may be running, by membership"
+REQUESTS_ADMITTED = _gauge(
+    "requests.admitted", "Requests in progress on this entry host"
 )
-ADMITTED = _gauge("requests.admitted", "Requests that this entry host holds now")
 LEASES_HELD = _gauge(
-    "leases.held", "1 for each controller that runs on this entry host", "controller"
+    "leases.held",
+    "1 for each controller whose lease this entry host holds",
+    "controller",
 )
 
 METRICS = (
     REQUESTS, REFUSALS, RETRIES, QUEUE_TIME, SERVICE_TIME, SLOTS_IN_USE, SLOTS_LIMIT,
-    WAITING, EJECTED, ADMITTED, HOSTS, BUDGET_LEFT, HOSTS_MISSING, HOSTS_RESERVE,
-    STAGED_VERSION, IN_FORCE_VERSION, VIEW_VERSION, ENTRIES_REACHED, ENTRIES_EXPECTED,
-    LEASES_HELD, STORE_CALLS, STORE_CONTACT_AGE,
+    REQUESTS_WAITING, WORKERS_EJECTED, REQUESTS_ADMITTED, HOSTS, BUDGET_LEFT,
+    HOSTS_MISSING, HOSTS_RESERVE, STAGED_VERSION, IN_FORCE_VERSION, VIEW_VERSION,
+    ENTRY_HOSTS_REACHED, ENTRY_HOSTS_EXPECTED, LEASES_HELD, STORE_CALLS,
+    STORE_CONTACT_AGE,
 )  # fmt: skip
 
 SUBMISSIONS = Metric(
     "sycamorecroft.node.submissions",
     MetricKind.COUNTER,
-    "Submissions of jobs by what is known of them",
+    "Job submissions, by outcome",
     ("service", "outcome"),
 )
 SUBMISSION_REFUSALS = Metric(
     "sycamorecroft.node.refusals",
     MetricKind.COUNTER,
-    "Requests of callers that were refused",
+    "Caller requests that were refused, by reason",
     ("reason",),
 )
 SUBMISSION_TIME = Metric(
     "sycamorecroft.node.submission.time",
     MetricKind.HISTOGRAM,
-    "From the request to the stored job",
+    "Time from the request until the job is stored",
     ("service",),
     "s",
     _BUCKETS_S,
@@ -162,7 +171,7 @@
 START_TIME = Metric(
     "sycamorecroft.node.start.time",
     MetricKind.HISTOGRAM,
-    "From a task's turn to its start on a worker",
+    "Time that a task waited until its start on a worker",
     ("service",),
     "s",
     _BUCKETS_S,
@@ -170,56 +179,56 @@
 COMMIT_TIME = Metric(
     "sycamorecroft.node.commit.time",
     MetricKind.HISTOGRAM,
-    "Storing the progress of a service's jobs",
+    "Duration of storing the progress of a service's jobs",
     ("service",),
     "s",
     _BUCKETS_S,
 )
-RUN_ENDS = Metric(
+RUN_OUTCOMES = Metric(
     "sycamorecroft.node.run_ends",
     MetricKind.COUNTER,
-    "Ends of runs; all but done are followed by another run or by the job's end",
+    "Finished runs, by outcome; all but done lead to another run or end the job",
     ("service", "end"),
 )
 START_RETRIES = Metric(
     "sycamorecroft.node.start_retries",
     MetricKind.COUNTER,
-    "Starts that a worker didn't confirm, by its reason",
+    "Starts that a worker did not confirm, by its reason",
     ("service", "reason"),
 )
-JOB_ENDS = Metric(
+JOB_OUTCOMES = Metric(
     "sycamorecroft.node.job_ends",
     MetricKind.COUNTER,
-    "Jobs that have ended, by state",
+    "Finished jobs, by final state",
     ("service", "state"),
 )
-TAKEOVERS = Metric(
+OWNERSHIP_CHANGES = Metric(
     "sycamorecroft.node.takeovers",
     MetricKind.COUNTER,
-    "Services that this host has claimed or lost",
+    "Services that this entry host has claimed or lost",
     ("change",),
 )
 SERVICES_OWNED = _gauge(
-    "node.services_owned", "Epoch of each service that this host owns", "service"
+    "node.services_owned", "Epoch of each service that this entry host owns", "service"
 )
-NODE_CONFIGURATION = _gauge(
-    "node.configuration_version", "Configuration version in force on this host"
+NODE_CONFIGURATION_VERSION = _gauge(
+    "node.configuration_version", "Configuration version in force on this entry host"
 )
-NODE_CONTACT_AGE = _gauge(
-    "node.store_contact_age", "Age of the last answer of the store", unit="s"
+NODE_STORE_CONTACT_AGE = _gauge(
+    "node.store_contact_age", "Time since the last response of the store", unit="s"
 )
 LOG_LINES_DROPPED = _gauge(
-    "node.log_lines_dropped", "Log lines left out since the reader was too slow"
+    "node.log_lines_dropped", "Log lines dropped because the reader was too slow"
 )
 
 NODE_METRICS = (
     SUBMISSIONS, SUBMISSION_REFUSALS, SUBMISSION_TIME, START_TIME, COMMIT_TIME,
-    RUN_ENDS, START_RETRIES, JOB_ENDS, TAKEOVERS, SERVICES_OWNED, NODE_CONFIGURATION,
-    NODE_CONTACT_AGE, LOG_LINES_DROPPED,
+    RUN_OUTCOMES, START_RETRIES, JOB_OUTCOMES, OWNERSHIP_CHANGES, SERVICES_OWNED,
+    NODE_CONFIGURATION_VERSION, NODE_STORE_CONTACT_AGE, LOG_LINES_DROPPED,
 )  # fmt: skip
 
 _NODE_HEAD = """
-## Node on the users' machines
+## Node on an entry host
 
 Served at `metrics_address` of the settings.
 
@@ -230,13 +239,14 @@
 _PAGE_HEAD = """# Metrics
 
 Each daemon serves its metrics at `GET /metrics` in the Prometheus text format. The
-values are those of this daemon: sum counters over all entry hosts. A queue and its
-slots are told only by the entry host that owns the queue, so sum these gauges too.
-Versions, hosts and pools are told by every entry host as it sees them: take the
-lowest version, and look at an entry host that differs from the others.
+values are those of one daemon: sum counters over all entry hosts. The gauges of a queue
+and its slots are exported only by the entry host that owns the queue, so sum these too.
+Gauges of versions, hosts and pools are exported by every entry host and show its own
+view: use the lowest version, and investigate an entry host that differs from the
+others.
 
-This page is rendered from `sycamorecroft.metrics`; a test compares them. To write it
-anew: `python -m sycamorecroft.metrics > docs/metrics.md`.
+This page is rendered from `sycamorecroft.metrics`, and a test compares the two. To
+regenerate it: `python -m sycamorecroft.metrics > docs/metrics.md`.
 
 | Metric | Kind | Attributes | Meaning |
 |---|---|---|---|
@@ -245,7 +255,7 @@
 
 def render_page() -> str:
     """
-    :returns: text of ``docs/metrics.md``.
+    :returns: Markdown text of ``docs/metrics.md``.
     """
     buckets = ", ".join(f"{bound:g}" for bound in _BUCKETS_S)
     return (
--- a/src/sycamorecroft/node/node.py
+++ b/src/sycamorecroft/node/node.py
@@ -8,14 +8,14 @@
 from opentelemetry.metrics import Observation
 
 from sycamorecroft.clock import Clock
-from sycamorecroft.concurrency import Published
+from sycamorecroft.concurrency import PublishedValue
 from sycamorecroft.entry.server import EntryServer, ServerSettings
 from sycamorecroft.errors import RecordError
 from sycamorecroft.logs import LineWriter
 from sycamorecroft.metrics import (
     LOG_LINES_DROPPED,
-    NODE_CONFIGURATION,
-    NODE_CONTACT_AGE,
+    NODE_CONFIGURATION_VERSION,
+    NODE_STORE_CONTACT_AGE,
     SERVICES_OWNED,
 )
 from sycamorecroft.node.advice_link import AdviceLink
@@ -87,8 +87,8 @@
         self._logs = logs
         self._settings = settings
         self._clock = clock
-        self._router: Published[Router | None] = Published(None)
-        self._sizes: Published[tuple[Resources, ...]] = Published(())
+        self._router: PublishedValue[Router | None] = PublishedValue(None)
+        self._sizes: PublishedValue[tuple[Resources, ...]] = PublishedValue(())
         self._confirmed_s = 0.0
         self._readiness = Readiness(clock, lambda: self._router.get() is not None)
         self._tables = self._connect_store()
@@ -175,9 +175,9 @@
                 for service, claimed in list(self._ownership.owned.items())
             ],
         )
-        observe(NODE_CONFIGURATION, lambda: [Observation(self._version())])
+        observe(NODE_CONFIGURATION_VERSION, lambda: [Observation(self._version())])
         observe(
-            NODE_CONTACT_AGE,
+            NODE_STORE_CONTACT_AGE,
             lambda: [Observation(self._readiness.contact_age_s())],
         )
         observe(
--- a/src/sycamorecroft/node/service_keeper.py
+++ b/src/sycamorecroft/node/service_keeper.py
@@ -9,7 +9,7 @@
 from sycamorecroft.clock import Clock
 from sycamorecroft.concurrency import Ticker
 from sycamorecroft.errors import PlatformError
-from sycamorecroft.metrics import TAKEOVERS
+from sycamorecroft.metrics import OWNERSHIP_CHANGES
 from sycamorecroft.node.machine_control import MachineControl
 from sycamorecroft.node.owned_service import OwnedService
 from sycamorecroft.node.worker_directory import WorkerDirectory
@@ -139,7 +139,7 @@
             _log.warning("service_not_begun", service=name, error=str(error))
             self._ownership.owned.pop(name, None)
             return
-        self._recorder.count(TAKEOVERS, change="claimed")
+        self._recorder.count(OWNERSHIP_CHANGES, change="claimed")
 
     def _stop_owned(self, name: str) -> None:
         if name == MACHINES_CLAIM:
@@ -156,7 +156,7 @@
         threading.Thread(target=self._drop, args=(name,), daemon=True).start()
 
     def _drop(self, name: str) -> None:
-        self._recorder.count(TAKEOVERS, change="lost")
+        self._recorder.count(OWNERSHIP_CHANGES, change="lost")
         with self._lock:
             self._ownership.owned.pop(name, None)
             self._stop_owned(name)
--- a/src/sycamorecroft/pools/view_actor.py
+++ b/src/sycamorecroft/pools/view_actor.py
@@ -7,7 +7,7 @@
 import msgspec
 import structlog
 
-from sycamorecroft.concurrency import DaemonActor, Published
+from sycamorecroft.concurrency import DaemonActor, PublishedValue
 from sycamorecroft.errors import PlatformError
 from sycamorecroft.pools.state import HostRecord, PoolView
 from sycamorecroft.pools.view import PoolViewReader
@@ -60,7 +60,7 @@
         self,
         reader: PoolViewReader,
         peers: ViewPeers,
-        view: Published[PoolView],
+        view: PublishedValue[PoolView],
         listener: Callable[[PoolView], None],
     ) -> None:
         super().__init__()
@@ -69,10 +69,10 @@
         self._view = view
         self._listener = listener
         self._peer_versions: Mapping[str, int] = {}
-        self._changed_version = Published(0)
+        self._changed_version = PublishedValue(0)
 
     @property
-    def changed_version(self) -> Published[int]:
+    def changed_version(self) -> PublishedValue[int]:
         """Version of the view in which a host changed last.
 
         The version of a view rises with each commit to any table, so it can't tell
--- a/src/sycamorecroft/recorder.py
+++ b/src/sycamorecroft/recorder.py
@@ -1,4 +1,4 @@
-"""Where decisions are counted and durations recorded, independent of the exporter."""
+"""Interface for counters and histograms, independent of the exporter."""
 
 from abc import ABC, abstractmethod
 
@@ -6,11 +6,11 @@
 
 
 class Recorder(ABC):
-    """Counts and durations. Thread-safe; attributes must be of bounded cardinality."""
+    """Records metric values. Thread-safe; attributes must have bounded cardinality."""
 
     @abstractmethod
     def count(self, metric: Metric, **attributes: str) -> None:
-        """Adds one to a counter."""
+        """Increments a counter by 1."""
 
     @abstractmethod
     def record(self, metric: Metric, duration_s: float, **attributes: str) -> None:
@@ -18,7 +18,7 @@
 
 
 class NullRecorder(Recorder):
-    """Records nothing."""
+    """Discards all values."""
 
     def count(self, metric: Metric, **attributes: str) -> None:
         pass
--- a/src/sycamorecroft/routing/owner_actor.py
+++ b/src/sycamorecroft/routing/owner_actor.py
@@ -8,7 +8,7 @@
 
 from sycamorecroft.admission.reasons import AdmissionRefusal
 from sycamorecroft.clock import Clock
-from sycamorecroft.concurrency import DaemonActor, Published
+from sycamorecroft.concurrency import DaemonActor, PublishedValue
 from sycamorecroft.configuration.fleet import FleetConfiguration
 from sycamorecroft.membership.ownership import owner_of
 from sycamorecroft.membership.state import MembershipView
@@ -74,14 +74,14 @@
         clock: Clock,
         send: Callable[[str, OwnerBatch], None],
         check_peer: Callable[[str], None],
-        statuses: Published[OwnerStatuses],
+        statuses: PublishedValue[OwnerStatuses],
     ) -> None:
         super().__init__()
         self._clock = clock
         self._send = send
         self._check_peer = check_peer
         self._statuses = statuses
-        self._is_busy = Published(False)
+        self._is_busy = PublishedValue(False)
         self._configuration: FleetConfiguration | None = None
         self._view = PoolView(0, {})
         self._membership: MembershipView | None = None
@@ -90,7 +90,7 @@
         self._unsynced: dict[str, set[str]] = {}
 
     @property
-    def is_busy(self) -> Published[bool]:
+    def is_busy(self) -> PublishedValue[bool]:
         """Whether requests wait or hold slots, so that ticks are due often."""
         return self._is_busy
 
--- a/src/sycamorecroft/scheduling/run_book.py
+++ b/src/sycamorecroft/scheduling/run_book.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from sycamorecroft.metrics import JOB_ENDS, RUN_ENDS
+from sycamorecroft.metrics import JOB_OUTCOMES, RUN_OUTCOMES
 from sycamorecroft.recorder import Recorder
 from sycamorecroft.scheduling.calls import RunEnd
 from sycamorecroft.scheduling.jobs import Job, Run, RunPhase, Task
@@ -49,7 +49,7 @@
         if checkpoint:
             task.checkpoint = checkpoint
         self._on_changed(task.job)
-        self._recorder.count(RUN_ENDS, service=self._service, end=end.value)
+        self._recorder.count(RUN_OUTCOMES, service=self._service, end=end.value)
         _log.info(
             "run_ended",
             task=task.id.name,
@@ -110,7 +110,7 @@
         """Ends a job and stops what still runs of it."""
         job.state = state
         self._on_changed(job)
-        self._recorder.count(JOB_ENDS, service=self._service, state=state.value)
+        self._recorder.count(JOB_OUTCOMES, service=self._service, state=state.value)
         _log.info(
             "job_ended",
             job=job.id,
--- a/src/sycamorecroft/telemetry.py
+++ b/src/sycamorecroft/telemetry.py
@@ -22,13 +22,13 @@
 
 
 class MetricValue(NamedTuple):
-    """Value of a metric with its attributes."""
+    """Value of a metric for one set of attributes."""
 
     value: float
     attributes: Mapping[str, str]
 
 
-MetricReader = Callable[[], Iterable[MetricValue]]
+ReadMetricValues = Callable[[], Iterable[MetricValue]]
 
 
 class Telemetry:
@@ -58,7 +58,8 @@
     def count_request(self, service: str | None, outcome: str) -> None:
         """
         :param service: a configured service; ``None`` for any other name, so that
-            callers can't create series.
+            callers can't create time series.
+        :param outcome: outcome of bounded cardinality.
         """
         self._requests.add(
             1, {"service": service or _UNKNOWN_SERVICE, "outcome": outcome}
@@ -66,7 +67,8 @@
 
     def count_refusal(self, service: str | None, reason: str) -> None:
         """
-        :param reason: bounded reason code.
+        :param service: as for :meth:`count_request`.
+        :param reason: reason code of bounded cardinality.
         """
         self._refusals.add(
             1, {"service": service or _UNKNOWN_SERVICE, "reason": reason}
@@ -74,28 +76,30 @@
 
     def count_retry(self, service: str | None, reason: str) -> None:
         """
-        :param reason: bounded reason code.
+        :param service: as for :meth:`count_request`.
+        :param reason: reason code of bounded cardinality.
         """
         self._retries.add(1, {"service": service or _UNKNOWN_SERVICE, "reason": reason})
 
     def record_queue_time(self, service: str | None, duration_s: float) -> None:
-        """Records the time a request waited for a slot, granted or not."""
+        """Records how long a request waited for a slot, whether granted or not."""
         self._queue_time.record(duration_s, {"service": service or _UNKNOWN_SERVICE})
 
     def record_service_time(self, service: str | None, duration_s: float) -> None:
-        """Records the time of one attempt at a worker."""
+        """Records the duration of one attempt at a worker."""
         self._service_time.record(duration_s, {"service": service or _UNKNOWN_SERVICE})
 
-    def observe(self, metric: Metric, reader: MetricReader) -> None:
-        """Registers a metric that is read when metrics are scraped.
+    def observe(self, metric: Metric, read_values: ReadMetricValues) -> None:
+        """Registers a metric whose values are read at each scrape.
 
-        :param reader: returns the values; it must not block.
+        :param read_values: returns the values; it must not block.
         """
 
         def read(options: CallbackOptions) -> Iterable[Observation]:
             del options
             return [
-                Observation(value.value, dict(value.attributes)) for value in reader()
+                Observation(value.value, dict(value.attributes))
+                for value in read_values()
             ]
 
         create = {
@@ -116,5 +120,5 @@
         return generate_latest(REGISTRY)
 
     def shutdown(self) -> None:
-        """Stops the exporter."""
+        """Shuts down the meter provider and its exporter."""
         self._provider.shutdown()
--- a/src/sycamorecroft/tests/test_invariants.py
+++ b/src/sycamorecroft/tests/test_invariants.py
@@ -1,3 +1,5 @@
+"""Tests that each invariant check rejects a violation and accepts the limit."""
+
 import pytest
 
 from sycamorecroft.errors import InvariantError
@@ -15,8 +17,7 @@
     check_version_never_falls,
 )
 
-# Guards against a check that never fires: each is called with values that break it.
-BROKEN = {
+VIOLATIONS = {
     "I1": lambda: check_availability_budget(PoolAvailability("rating", 8, 3, 0.25)),
     "I2": lambda: check_single_pool([("w1", "rating"), ("w1", "hotline")]),
     "I3": lambda: check_answer_matches_request("r1", "r2"),
@@ -30,13 +31,15 @@
 }
 
 
-@pytest.mark.parametrize("invariant", BROKEN)
-def test_check_fires_on_a_broken_state(invariant):
+@pytest.mark.parametrize("invariant", VIOLATIONS)
+def test_violation_is_detected(invariant):
+    """Guards against a check that accepts a violation of its invariant."""
     with pytest.raises(InvariantError, match=f"^{invariant}:"):
-        BROKEN[invariant]()
+        VIOLATIONS[invariant]()
 
 
-def test_checks_accept_states_at_the_bound():
+def test_checks_accept_values_at_the_limit():
+    """Guards against a check that rejects values at the limit of its invariant."""
     check_availability_budget(PoolAvailability("rating", 8, 2, 0.25))
     check_single_pool([("w1", "rating"), ("w2", "rating")])
     check_answer_matches_request("r1", None)
--- a/src/sycamorecroft/tests/test_metrics.py
+++ b/src/sycamorecroft/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests that the metrics, their page and what a daemon exports agree."""
+"""Tests that the metrics catalogue, its page and the exported metrics agree."""
 
 from pathlib import Path
 
@@ -8,13 +8,13 @@
 PAGE = Path(__file__).parents[3] / "docs" / "metrics.md"
 
 
-def test_page_is_current():
-    """Guards against metrics that operators can't look up."""
+def test_page_matches_catalogue():
+    """Guards against metrics that are missing from the page or outdated on it."""
     assert PAGE.read_text(encoding="utf-8") == render_page()
 
 
 def test_metrics_are_exported_under_the_names_on_the_page():
-    """Guards against pages whose names no query finds, and retries without service."""
+    """Guards against names on the page that differ from the exported ones."""
     telemetry = Telemetry()
     try:
         telemetry.count_request("rating", "run")
@@ -29,7 +29,9 @@
         text = telemetry.render().decode()
     finally:
         telemetry.shutdown()
-    missing = [item.name for item in METRICS if f"\n{item.exported_name}" not in text]
+    missing = [
+        metric.name for metric in METRICS if f"\n{metric.exported_name}" not in text
+    ]
     assert not missing
     assert 'reason="connect_failed",service="rating"} 1.0' in text
     assert 'sycamorecroft_queue_time_seconds_bucket{le="0.25",' in text
