--- a/src/sycamorecroft/capacity/__init__.py
+++ b/src/sycamorecroft/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Moves machines between a pool and the standby pools as demand changes."""
+"""Moves hosts between pools, standby pools included, as demand changes."""
--- a/src/sycamorecroft/capacity/controller.py
+++ b/src/sycamorecroft/capacity/controller.py
@@ -1,7 +1,8 @@
-"""Orders moves of machines between pools as the demand of the pools changes.
+"""Orders moves of hosts between pools as the demand of the pools changes.
 
-One host decides for all pools. A machine may so go from a quiet pool to a busy one in
-one move, and no machine waits for the lease time between the orders of two hosts.
+One entry host, the fleet controller, decides for all pools. A host can therefore move
+from an idle pool to a busy one directly, without the lease time that must pass between
+orders of two entry hosts.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -12,71 +13,73 @@
 from sycamorecroft.capacity.planning import (
     DemandHistory,
     PoolDemand,
-    floor_count,
     limit_to_fair_shares,
+    minimum_size,
     plan_pool,
-    share_machines,
+    select_workers_to_drain,
+    share_hosts,
     split_shortage,
-    workers_to_empty,
 )
 from sycamorecroft.clock import Clock
 from sycamorecroft.errors import StoreConflictError
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot
-from sycamorecroft.upkeep.ledger import WaveLedger
-from sycamorecroft.upkeep.machines import (
-    Machine,
-    MachineCalls,
-    MachineOrderStatus,
-    MachineState,
-)
+from sycamorecroft.upkeep.fleet_store import FleetStore
+from sycamorecroft.upkeep.hosts import Host, HostCalls, HostOrderStatus, HostState
 from sycamorecroft.upkeep.order_sender import ORDERS_PER_CLAIM_COUNT, OrderSender
 
 _log = structlog.get_logger(__name__)
 
-# A machine that hasn't registered after this time no longer counts as incoming.
-INCOMING_LIMIT_S = 5.0
-# The list of machines is asked for at most this often.
+# A moved host whose worker hasn't registered after this time no longer counts as
+# incoming.
+INCOMING_TIMEOUT_S = 5.0
+# Minimum interval between two reads of the host list.
 LIST_INTERVAL_S = 0.2
-_ON_ITS_WAY = (MachineOrderStatus.DONE, MachineOrderStatus.UNKNOWN)
+_IN_FLIGHT_STATUSES = (HostOrderStatus.DONE, HostOrderStatus.UNKNOWN)
 
 
 class CapacitySettings(NamedTuple):
-    """``lease_ms`` must pass between orders of two hosts for one machine."""
+    """Settings of the capacity controller.
+
+    ``lease_ms``: time that must pass between orders of two entry hosts for one host.
+    """
 
     lease_ms: int
 
 
 class _PoolState:
-    """What is known of one pool."""
+    """Demand history, incoming hosts and reserved workers of one pool.
+
+    ``incoming_s``: time of the move order of each host that has not registered yet.
+    """
 
-    def __init__(self, home_count: int) -> None:
-        self.home_count = home_count
+    def __init__(self, initial_count: int) -> None:
+        self.initial_count = initial_count
         self.history = DemandHistory()
         self.incoming_s: dict[str, float] = {}
-        self.leaving: frozenset[str] = frozenset()
+        self.reserved: frozenset[str] = frozenset()
 
 
 class _Move(NamedTuple):
-    """A machine that is to go to another pool."""
+    """A planned move of a host to the pool ``pool``."""
 
-    machine: Machine
+    host: Host
     pool: str
     reason: str
 
 
 class CapacityController:
-    """Decides and orders moves. Used by one thread."""
+    """Plans and orders moves of hosts between pools. Not thread-safe."""
 
     def __init__(
         self,
-        ledger: WaveLedger,
+        fleet_store: FleetStore,
         sender: OrderSender,
-        calls: MachineCalls,
+        calls: HostCalls,
         clock: Clock,
         settings: CapacitySettings,
         standby_pools: Callable[[], frozenset[str]],
     ) -> None:
-        self._ledger = ledger
+        self._fleet_store = fleet_store
         self._sender = sender
         self._calls = calls
         self._clock = clock
@@ -84,176 +87,190 @@
         self._standby_pools = standby_pools
         self._pools: dict[str, _PoolState] = {}
         self._next_list_s = 0.0
-        self._due_machines: frozenset[str] = frozenset()
+        self._due_hosts: frozenset[str] = frozenset()
 
     def reserved_workers(self, pool: str) -> frozenset[str]:
         """
-        :returns: workers that are emptied in order to be given away.
+        :returns: ids of the workers that are drained so that their hosts can move.
         """
         state = self._pools.get(pool)
-        return state.leaving if state else frozenset()
+        return state.reserved if state else frozenset()
 
     def step(
         self,
         snapshots: Mapping[str, PoolSnapshot],
-        busy_machines: frozenset[str],
-        due_machines: frozenset[str] = frozenset(),
+        upkeep_hosts: frozenset[str],
+        due_hosts: frozenset[str] = frozenset(),
     ) -> None:
-        """Moves machines where demand asks for it.
+        """Orders the moves that the demand requires and selects workers to drain.
 
-        :param snapshots: loads of the pools, as confirmed by their owners.
-        :param busy_machines: machines that upkeep is about to take.
-        :param due_machines: machines whose upkeep has not begun.
-        :raises PlatformError: when the store or the list of machines can't be read.
+        :param snapshots: load by pool, with applied marks only.
+        :param upkeep_hosts: hosts that are selected for upkeep and not back in service.
+        :param due_hosts: hosts whose upkeep is due and has not started.
+        :raises PlatformError: when the store or the host list can't be read.
         """
-        self._due_machines = due_machines
+        self._due_hosts = due_hosts
         demands = {
-            pool: self._plan(pool, snapshot, busy_machines)
+            pool: self._plan(pool, snapshot, upkeep_hosts)
             for pool, snapshot in snapshots.items()
         }
-        shortage = 0
+        shortage_count = 0
         is_short = any(demand.grow_count for demand in demands.values())
-        if is_short or any(self._pools[pool].leaving for pool in demands):
+        if is_short or any(self._pools[pool].reserved for pool in demands):
             now_s = self._clock.monotonic_s()
             if now_s < self._next_list_s:
                 return
             self._next_list_s = now_s + LIST_INTERVAL_S
-            self._ledger.read_orders()
-            machines = self._calls.list_machines()
-            demands = self._share(demands, machines)
+            self._fleet_store.read_orders()
+            hosts = self._calls.list_hosts()
+            demands = self._limit(demands, hosts)
             needs = {p: d.grow_count for p, d in demands.items() if d.grow_count}
             for pool in needs:
-                self._pools[pool].leaving = frozenset()
-            moved_count = self._order(needs, snapshots, machines, busy_machines)
-            shortage = sum(needs.values()) - moved_count
-        self._choose_leaving(demands, snapshots, shortage, busy_machines)
+                self._pools[pool].reserved = frozenset()
+            moved_count = self._order(needs, snapshots, hosts, upkeep_hosts)
+            shortage_count = sum(needs.values()) - moved_count
+        self._select_reserved(demands, snapshots, shortage_count, upkeep_hosts)
 
     def _plan(
-        self, pool: str, snapshot: PoolSnapshot, busy_machines: frozenset[str]
+        self, pool: str, snapshot: PoolSnapshot, upkeep_hosts: frozenset[str]
     ) -> PoolDemand:
         state = self._pools.get(pool)
         if state is None:
-            state = self._pools[pool] = self._begin(pool)
+            state = self._pools[pool] = self._create_state(pool)
         state.history.add(snapshot)
         present = {worker.machine for worker in snapshot.workers}
         now_s = self._clock.monotonic_s()
-        for machine, ordered_s in list(state.incoming_s.items()):
-            if machine in present or now_s - ordered_s > INCOMING_LIMIT_S:
-                del state.incoming_s[machine]
+        for host, ordered_s in list(state.incoming_s.items()):
+            if host in present or now_s - ordered_s > INCOMING_TIMEOUT_S:
+                del state.incoming_s[host]
         return plan_pool(
             snapshot,
             state.history,
             incoming_count=len(state.incoming_s),
-            floor_count=floor_count(state.home_count),
-            busy_machines=busy_machines,
+            minimum_count=minimum_size(state.initial_count),
+            upkeep_hosts=upkeep_hosts,
         )
 
-    def _share(
-        self, demands: Mapping[str, PoolDemand], machines: Sequence[Machine]
+    def _limit(
+        self, demands: Mapping[str, PoolDemand], hosts: Sequence[Host]
     ) -> dict[str, PoolDemand]:
         standby = self._standby_pools()
-        free_count = sum(machine.pool in standby for machine in machines)
-        homes = {pool: max(1, self._pools[pool].home_count) for pool in demands}
-        return limit_to_fair_shares(demands, homes, free_count)
+        free_count = sum(host.pool in standby for host in hosts)
+        initial_counts = {
+            pool: max(1, self._pools[pool].initial_count) for pool in demands
+        }
+        return limit_to_fair_shares(demands, initial_counts, free_count)
 
-    def _begin(self, pool: str) -> _PoolState:
-        machines = self._calls.list_machines()
-        present_count = sum(machine.pool == pool for machine in machines)
-        return _PoolState(self._ledger.home_count(pool, present_count))
+    def _create_state(self, pool: str) -> _PoolState:
+        hosts = self._calls.list_hosts()
+        present_count = sum(host.pool == pool for host in hosts)
+        return _PoolState(self._fleet_store.initial_count(pool, present_count))
 
-    def _choose_leaving(
+    def _select_reserved(
         self,
         demands: Mapping[str, PoolDemand],
         snapshots: Mapping[str, PoolSnapshot],
-        shortage: int,
-        busy_machines: frozenset[str],
+        shortage_count: int,
+        upkeep_hosts: frozenset[str],
     ) -> None:
-        lendable = [(p, d.lend_count) for p, d in demands.items() if d.lend_count]
-        asked = split_shortage(lendable, max(0, shortage))
+        reassignable = [
+            (p, d.reassignable_count)
+            for p, d in demands.items()
+            if d.reassignable_count
+        ]
+        requested = split_shortage(reassignable, max(0, shortage_count))
         has_standby = bool(self._standby_pools())
         for pool, demand in demands.items():
             shrink_count = demand.shrink_count if has_standby else 0
-            count = max(shrink_count, asked.get(pool, 0))
+            count = max(shrink_count, requested.get(pool, 0))
             state = self._pools[pool]
-            state.leaving = workers_to_empty(
+            state.reserved = select_workers_to_drain(
                 snapshots[pool],
-                state.leaving,
+                state.reserved,
                 count,
-                busy_machines,
-                self._due_machines,
+                upkeep_hosts,
+                self._due_hosts,
             )
 
     def _order(
         self,
         needs: Mapping[str, int],
         snapshots: Mapping[str, PoolSnapshot],
-        machines: Sequence[Machine],
-        busy_machines: frozenset[str],
+        hosts: Sequence[Host],
+        upkeep_hosts: frozenset[str],
     ) -> int:
-        """Moves free machines to the pools that need them, and the rest to standby.
+        """Moves free and drained hosts to pools that need them.
+
+        Drained hosts that no pool needs move to standby.
 
-        :returns: machines on their way to pools that need them.
+        :returns: number of hosts ordered to move to pools that need them.
         """
         standby = self._standby_pools()
-        free = [m for m in machines if self._is_free(m, standby, busy_machines)]
-        # Machines that are off have their upkeep at no cost of capacity.
-        free.sort(key=lambda machine: machine.name in self._due_machines)
-        emptied = self._emptied(snapshots, machines, busy_machines)
-        shares = share_machines(needs, len(free) + len(emptied))
+        free = [host for host in hosts if self._is_free(host, standby, upkeep_hosts)]
+        # Hosts due for upkeep come last: upkeep of a standby host costs no capacity.
+        free.sort(key=lambda host: host.name in self._due_hosts)
+        drained = self._drained_hosts(snapshots, hosts, upkeep_hosts)
+        shares = share_hosts(needs, len(free) + len(drained))
         moves: list[_Move] = []
         for pool, count in shares.items():
-            kinds = {m.labels[0] for m in machines if m.pool == pool and m.labels}
-            for supply in (emptied, free):
-                fitting = [m for m in supply if not kinds or m.labels[0] in kinds]
-                for machine in fitting[:count]:
-                    supply.remove(machine)
-                    moves.append(_Move(machine, pool, "work waits"))
+            host_types = {
+                host.labels[0] for host in hosts if host.pool == pool and host.labels
+            }
+            for supply in (drained, free):
+                suitable = [
+                    host
+                    for host in supply
+                    if not host_types or host.labels[0] in host_types
+                ]
+                for host in suitable[:count]:
+                    supply.remove(host)
+                    moves.append(_Move(host, pool, "tasks are waiting"))
                     count -= 1
         needed_count = len(moves)
         if standby:
             target = min(standby)
-            moves += [_Move(m, target, "demand is low") for m in emptied]
-        for begin in range(0, len(moves), ORDERS_PER_CLAIM_COUNT):
-            self._carry_out(moves[begin : begin + ORDERS_PER_CLAIM_COUNT])
+            moves += [_Move(host, target, "demand is low") for host in drained]
+        for start in range(0, len(moves), ORDERS_PER_CLAIM_COUNT):
+            self._send(moves[start : start + ORDERS_PER_CLAIM_COUNT])
         return needed_count
 
     def _is_free(
-        self, machine: Machine, standby: frozenset[str], busy_machines: frozenset[str]
+        self, host: Host, standby: frozenset[str], upkeep_hosts: frozenset[str]
     ) -> bool:
-        return machine.pool in standby and self._may_move(machine, busy_machines)
+        return host.pool in standby and self._may_move(host, upkeep_hosts)
 
-    def _may_move(self, machine: Machine, busy_machines: frozenset[str]) -> bool:
+    def _may_move(self, host: Host, upkeep_hosts: frozenset[str]) -> bool:
         return (
-            machine.state is MachineState.UP
-            and machine.name not in busy_machines
-            and self._ledger.may_order(machine.name, self._settings.lease_ms)
+            host.state is HostState.UP
+            and host.name not in upkeep_hosts
+            and self._fleet_store.may_order(host.name, self._settings.lease_ms)
         )
 
-    def _emptied(
+    def _drained_hosts(
         self,
         snapshots: Mapping[str, PoolSnapshot],
-        machines: Sequence[Machine],
-        busy_machines: frozenset[str],
-    ) -> list[Machine]:
-        """Machines whose workers run nothing and were chosen to be given away."""
+        hosts: Sequence[Host],
+        upkeep_hosts: frozenset[str],
+    ) -> list[Host]:
+        """Returns hosts that may move and whose reserved workers run nothing."""
         workers = {
             (pool, worker.machine): worker.worker_id
             for pool, snapshot in snapshots.items()
             for worker in snapshot.workers
-            if worker.is_emptied and worker.worker_id in self._pools[pool].leaving
+            if worker.is_emptied and worker.worker_id in self._pools[pool].reserved
         }
         return [
-            machine
-            for machine in machines
-            if workers.get((machine.pool, machine.name)) == machine.worker_id
-            and machine.worker_id
-            and self._may_move(machine, busy_machines)
+            host
+            for host in hosts
+            if workers.get((host.pool, host.name)) == host.worker_id
+            and host.worker_id
+            and self._may_move(host, upkeep_hosts)
         ]
 
-    def _carry_out(self, moves: Sequence[_Move]) -> None:
-        targets = {move.machine.name: move.pool for move in moves}
+    def _send(self, moves: Sequence[_Move]) -> None:
+        targets = {move.host.name: move.pool for move in moves}
         try:
-            token, statuses = self._sender.carry_out(
+            token, statuses = self._sender.send_orders(
                 list(targets),
                 lambda name, token: self._calls.move(name, targets[name], token),
             )
@@ -262,16 +279,16 @@
             return
         now_s = self._clock.monotonic_s()
         for move in moves:
-            status = statuses[move.machine.name]
+            status = statuses[move.host.name]
             _log.info(
                 "machine_moved",
-                machine=move.machine.name,
-                from_pool=move.machine.pool,
+                machine=move.host.name,
+                from_pool=move.host.pool,
                 to_pool=move.pool,
                 token=token.number,
                 status=status,
                 reason=move.reason,
             )
             state = self._pools.get(move.pool)
-            if state is not None and status in _ON_ITS_WAY:
-                state.incoming_s[move.machine.name] = now_s
+            if state is not None and status in _IN_FLIGHT_STATUSES:
+                state.incoming_s[move.host.name] = now_s
--- a/src/sycamorecroft/capacity/marks.py
+++ b/src/sycamorecroft/capacity/marks.py
@@ -1,4 +1,4 @@
-"""Marks that tell services' owners which workers planned work concerns."""
+"""Stores the marks that tell service owners which workers are reserved or due."""
 
 from collections.abc import Mapping
 
@@ -18,16 +18,18 @@
 _log = structlog.get_logger(__name__)
 
 
-class MarkBook:
-    """Writes the marks and knows which of them a service's owner goes by.
+class MarkStore:
+    """Writes marks and tracks which of them each service owner has applied.
 
-    A worker may be taken only if its service's owner has seen the mark that reserves
-    it: an older load can show it empty before tasks were placed on it again.
+    A host may be moved only after the service owner has applied the mark that reserves
+    its worker: an older snapshot can show the worker as drained although tasks have
+    been placed on it since.
     """
 
     def __init__(self, tables: PartitionedTableService, owner_check: Check) -> None:
         """
-        :param owner_check: holds as long as this host owns the machines.
+        :param owner_check: condition that holds while this entry host is the fleet
+            controller.
         """
         self._tables = tables
         self._owner_check = owner_check
@@ -35,7 +37,7 @@
         self._reserved_versions: dict[str, int] = {}
 
     def load(self) -> None:
-        """Reads what a former owner has marked.
+        """Reads the marks that a previous fleet controller stored.
 
         :raises PlatformError: when the rows can't be read.
         """
@@ -46,17 +48,18 @@
             try:
                 marks = decode_row(row.value or b"", WorkerMarks)
             except RecordError as error:
-                _log.error("marks_not_understood", service=row.key, error=str(error))
+                _log.error("marks_malformed", service=row.key, error=str(error))
                 continue
             self._stored[row.key] = marks
             self._reserved_versions |= dict.fromkeys(marks.reserved, row.version)
 
     def write(self, wanted: Mapping[str, WorkerMarks]) -> None:
-        """Stores the marks that have changed.
+        """Stores the marks that differ from the stored ones.
 
         :param wanted: marks by service.
-        :raises StoreConflictError: when another host owns the machines.
-        :raises PlatformError: when they are not known to be written.
+        :raises StoreConflictError: when this entry host is no longer the fleet
+            controller.
+        :raises PlatformError: when it is not known whether the marks were written.
         """
         changed = {
             service: marks
@@ -73,26 +76,27 @@
             (self._owner_check,), puts, purpose=StorePurpose.POOLS
         )
         for service, marks in changed.items():
-            former = self._stored.get(service, WorkerMarks())
-            for worker_id in former.reserved - marks.reserved:
+            previous = self._stored.get(service, WorkerMarks())
+            for worker_id in previous.reserved - marks.reserved:
                 self._reserved_versions.pop(worker_id, None)
-            for worker_id in marks.reserved - former.reserved:
+            for worker_id in marks.reserved - previous.reserved:
                 self._reserved_versions[worker_id] = version
             self._stored[service] = marks
 
-    def confirmed(self, snapshot: PoolSnapshot) -> PoolSnapshot:
+    def with_applied_marks(self, snapshot: PoolSnapshot) -> PoolSnapshot:
         """
-        :returns: the load with only those workers reserved whose mark was seen.
+        :returns: the snapshot, with only those workers reserved whose mark the service
+            owner had applied when it took the snapshot.
         """
         version = snapshot.marks_version
         workers = tuple(
             worker
-            if not worker.is_reserved or self._is_seen(worker.worker_id, version)
+            if not worker.is_reserved or self._is_applied(worker.worker_id, version)
             else worker._replace(is_reserved=False)
             for worker in snapshot.workers
         )
         return snapshot._replace(workers=workers)
 
-    def _is_seen(self, worker_id: str, version: int) -> bool:
+    def _is_applied(self, worker_id: str, version: int) -> bool:
         reserved_version = self._reserved_versions.get(worker_id)
         return reserved_version is not None and version >= reserved_version
--- a/src/sycamorecroft/capacity/planning.py
+++ b/src/sycamorecroft/capacity/planning.py
@@ -1,4 +1,4 @@
-"""How many machines a pool needs, and which machines go where."""
+"""Computes how many hosts each pool needs and which workers it can release."""
 
 import math
 from collections import deque
@@ -7,72 +7,77 @@
 
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot, WorkerSnapshot
 
-# A machine takes seconds to arrive, so that a pool grows before it is full.
+# A moved host is available only after several seconds, so a pool grows before it is
+# full.
 GROWTH_LOAD_RATIO = 0.9
-# Share of the work of the last second that counts as demand; one second tells little.
+# Share of the extrapolated arrival rate that counts as demand. The rate is measured
+# over one second, which is too short a window to be trusted in full.
 ARRIVING_RATIO = 0.7
-# A machine is given back after the pool did without it for this long.
-SURPLUS_TIME_S = 2.0
-# A machine is lent to a pool that needs it after its own did without it for this long.
-LENDING_TIME_S = 0.75
-# Share of the capacity that the highest recent demand may take after giving back.
+# Hosts move to standby after the pool has not needed them for this long.
+STANDBY_DELAY_S = 2.0
+# Hosts move to another pool with unmet demand after theirs has not needed them for this
+# long.
+REASSIGNMENT_DELAY_S = 0.75
+# Share of the capacity left after a release that the peak of recent demand may use.
 SURPLUS_LOAD_RATIO = 0.8
-# Share of its first size that a pool keeps while demand is low, for sudden demand.
-FLOOR_RATIO = 0.75
+# Share of its initial size that a pool keeps under low load as headroom for bursts.
+MINIMUM_SIZE_RATIO = 0.75
 
 
 class PoolDemand(NamedTuple):
-    """Machines that a pool should gain, or may lose.
+    """Number of hosts that a pool should gain or can release.
 
-    ``shrink_count``: machines that it has done without for long enough to be switched
-    off. ``lend_count``: machines that it may give to a pool that needs them.
-    ``needed_count``: machines that would take all its work at once. ``usable_count``:
-    machines that it has, those on their way included.
+    ``shrink_count``: hosts that have been surplus for long enough to move to standby.
+    ``reassignable_count``: hosts that may move to a pool with unmet demand.
+    ``needed_count``: hosts required to run all of the pool's work at once.
+    ``usable_count``: hosts that the pool has, incoming ones included.
     """
 
     grow_count: int = 0
     shrink_count: int = 0
-    lend_count: int = 0
+    reassignable_count: int = 0
     needed_count: int = 0
     usable_count: int = 0
 
 
 class DemandSample(NamedTuple):
-    """Demand of a pool at a time, in machines."""
+    """Demand of a pool at one time, as a fractional number of hosts."""
 
     taken_s: float
-    machines_count: float
+    hosts_count: float
 
 
 class DemandHistory:
-    """Recent demand of one pool."""
+    """Demand of one pool over the last :data:`STANDBY_DELAY_S` seconds."""
 
     def __init__(self) -> None:
         self._samples: deque[DemandSample] = deque()
         self._since_s: float | None = None
 
     def add(self, snapshot: PoolSnapshot) -> None:
-        """Records the demand of a snapshot."""
-        each = _capacity_of_one(snapshot)
-        if not each:
+        """Records the demand of a snapshot, unless the capacity per worker is 0."""
+        worker_millicores = _mean_worker_millicores(snapshot)
+        if not worker_millicores:
             return
         if self._since_s is None:
             self._since_s = snapshot.taken_s
-        demand = _demand(snapshot) / each
-        self._samples.append(DemandSample(snapshot.taken_s, demand))
-        limit_s = snapshot.taken_s - SURPLUS_TIME_S
+        hosts_count = _demand_millicores(snapshot) / worker_millicores
+        self._samples.append(DemandSample(snapshot.taken_s, hosts_count))
+        limit_s = snapshot.taken_s - STANDBY_DELAY_S
         while self._samples and self._samples[0].taken_s < limit_s:
             self._samples.popleft()
 
-    def highest_count(self, now_s: float, duration_s: float) -> float | None:
+    def peak_count(self, now_s: float, duration_s: float) -> float | None:
         """
-        :param duration_s: at most :data:`SURPLUS_TIME_S`.
-        :returns: highest demand of that time, ``None`` while too little has been seen.
+        :param duration_s: length of the window in seconds, at most
+            :data:`STANDBY_DELAY_S`.
+        :returns: peak demand within the window, in hosts; ``None`` while the history
+            is shorter than the window.
         """
         if self._since_s is None or now_s - self._since_s < duration_s:
             return None
         limit_s = now_s - duration_s
-        recent = [s.machines_count for s in self._samples if s.taken_s >= limit_s]
+        recent = [s.hosts_count for s in self._samples if s.taken_s >= limit_s]
         return max(recent, default=0.0)
 
 
@@ -81,16 +86,17 @@
     history: DemandHistory,
     *,
     incoming_count: int,
-    floor_count: int,
-    busy_machines: frozenset[str] = frozenset(),
+    minimum_count: int,
+    upkeep_hosts: frozenset[str] = frozenset(),
 ) -> PoolDemand:
     """
-    :param incoming_count: machines on their way to the pool.
-    :param floor_count: machines that the pool keeps in any case.
-    :param busy_machines: machines that upkeep is about to take.
-    :returns: machines that the pool should gain, or may lose.
+    :param incoming_count: hosts that have been ordered to move to the pool and have
+        not registered yet.
+    :param minimum_count: minimum size of the pool.
+    :param upkeep_hosts: hosts that are selected for upkeep and not back in service.
+    :returns: number of hosts that the pool should gain or can release.
     """
-    usable_count = sum(_is_usable(w, busy_machines) for w in snapshot.workers)
+    usable_count = sum(_is_usable(w, upkeep_hosts) for w in snapshot.workers)
     present_count = usable_count + incoming_count
     grow_count = _missing_count(snapshot, usable_count) - incoming_count
     if grow_count > 0 or incoming_count:
@@ -98,181 +104,206 @@
         return PoolDemand(max(0, grow_count), 0, 0, needed_count, present_count)
 
     def surplus_count(duration_s: float) -> int:
-        highest = history.highest_count(snapshot.taken_s, duration_s)
-        if highest is None:
+        peak = history.peak_count(snapshot.taken_s, duration_s)
+        if peak is None:
             return 0
-        needed = max(floor_count, math.ceil(highest / SURPLUS_LOAD_RATIO))
-        return max(0, usable_count - needed)
+        required_count = max(minimum_count, math.ceil(peak / SURPLUS_LOAD_RATIO))
+        return max(0, usable_count - required_count)
 
-    lend_count = surplus_count(LENDING_TIME_S)
+    reassignable_count = surplus_count(REASSIGNMENT_DELAY_S)
     return PoolDemand(
         0,
-        surplus_count(SURPLUS_TIME_S),
-        lend_count,
-        present_count - lend_count,
+        surplus_count(STANDBY_DELAY_S),
+        reassignable_count,
+        present_count - reassignable_count,
         present_count,
     )
 
 
 def limit_to_fair_shares(
-    demands: Mapping[str, PoolDemand], homes: Mapping[str, int], free_count: int
+    demands: Mapping[str, PoolDemand],
+    initial_counts: Mapping[str, int],
+    free_count: int,
 ) -> dict[str, PoolDemand]:
-    """Keeps the overload of one pool from taking the machines of another.
+    """Prevents an overloaded pool from starving the others of hosts.
 
-    When there are too few machines for all, each pool grows only up to its fair share,
-    and one that has more lends it as far as others are below theirs.
+    When there are fewer hosts than all pools need, each pool grows at most to its fair
+    share, and a pool above its share may release the excess.
 
-    :param homes: machines that each pool had when it was first seen.
-    :param free_count: machines on standby.
+    :param initial_counts: initial size of each pool, used as its weight.
+    :param free_count: hosts in standby pools.
+    :returns: demand of each pool, limited where hosts are short.
     """
     needs = {pool: demand.needed_count for pool, demand in demands.items()}
-    total = free_count + sum(demand.usable_count for demand in demands.values())
-    if sum(needs.values()) <= total:
+    total_count = free_count + sum(demand.usable_count for demand in demands.values())
+    if sum(needs.values()) <= total_count:
         return dict(demands)
-    shares = fair_shares(needs, homes, total)
+    shares = fair_shares(needs, initial_counts, total_count)
     limited: dict[str, PoolDemand] = {}
     for pool, demand in demands.items():
         missing_count = max(0, shares[pool] - demand.usable_count)
         excess_count = max(0, demand.usable_count - shares[pool])
         limited[pool] = demand._replace(
             grow_count=min(demand.grow_count, missing_count),
-            lend_count=max(demand.lend_count, excess_count),
+            reassignable_count=max(demand.reassignable_count, excess_count),
         )
     return limited
 
 
 def fair_shares(
-    needs: Mapping[str, int], weights: Mapping[str, int], total: int
+    needs: Mapping[str, int], weights: Mapping[str, int], total_count: int
 ) -> dict[str, int]:
-    """Shares machines by weighted max-min fairness.
+    """Divides hosts among pools by weighted max-min fairness.
 
-    No pool gets more than it needs; what one doesn't need goes to the others in
-    proportion to their weights.
+    No pool gets more than it needs. Hosts that a pool doesn't need are divided among
+    the others in proportion to their weights.
 
-    :param weights: weight of each pool, all above 0.
+    :param needs: number of hosts that each pool needs.
+    :param weights: weight of each pool, greater than 0.
+    :param total_count: number of hosts to divide.
+    :returns: number of hosts for each pool.
     """
     shares: dict[str, int] = {}
-    left = dict(needs)
-    while left:
-        total_weight = sum(weights[pool] for pool in left)
-        rest = max(0, total - sum(shares.values()))
-        content = {
+    unsatisfied = dict(needs)
+    while unsatisfied:
+        total_weight = sum(weights[pool] for pool in unsatisfied)
+        remaining_count = max(0, total_count - sum(shares.values()))
+        satisfied = {
             pool: need
-            for pool, need in left.items()
-            if need * total_weight <= rest * weights[pool]
+            for pool, need in unsatisfied.items()
+            if need * total_weight <= remaining_count * weights[pool]
         }
-        if not content:
-            portions = {pool: rest * weights[pool] // total_weight for pool in left}
+        if not satisfied:
+            portions = {
+                pool: remaining_count * weights[pool] // total_weight
+                for pool in unsatisfied
+            }
             return shares | portions
-        shares |= content
-        left = {pool: need for pool, need in left.items() if pool not in content}
+        shares |= satisfied
+        unsatisfied = {
+            pool: need for pool, need in unsatisfied.items() if pool not in satisfied
+        }
     return shares
 
 
-def floor_count(home_count: int) -> int:
+def minimum_size(initial_count: int) -> int:
     """
-    :param home_count: machines that the pool had when it was first seen.
-    :returns: machines that the pool keeps in any case.
+    :param initial_count: number of hosts in the pool when it was first observed.
+    :returns: number of hosts that the pool keeps under low load, at least 1.
     """
-    return max(1, math.ceil(home_count * FLOOR_RATIO))
+    return max(1, math.ceil(initial_count * MINIMUM_SIZE_RATIO))
 
 
-def share_machines(needs: Mapping[str, int], count: int) -> dict[str, int]:
-    """Shares machines among pools that need them, in proportion to their needs.
+def share_hosts(needs: Mapping[str, int], available_count: int) -> dict[str, int]:
+    """Divides available hosts among pools in proportion to their needs.
 
-    :param needs: machines that each pool needs, all above 0.
-    :param count: machines that there are.
-    :returns: machines for each pool.
+    :param needs: number of hosts that each pool needs, greater than 0.
+    :param available_count: number of hosts to divide.
+    :returns: number of hosts for each pool, never more than it needs.
     """
-    total = sum(needs.values())
-    if total <= count:
+    needed_count = sum(needs.values())
+    if needed_count <= available_count:
         return dict(needs)
-    shares = {pool: need * count // total for pool, need in needs.items()}
-    left = count - sum(shares.values())
-    by_rest = sorted(needs, key=lambda pool: (-(needs[pool] * count % total), pool))
-    for pool in by_rest[:left]:
+    shares = {
+        pool: need * available_count // needed_count for pool, need in needs.items()
+    }
+    leftover_count = available_count - sum(shares.values())
+    by_remainder = sorted(
+        needs, key=lambda pool: (-(needs[pool] * available_count % needed_count), pool)
+    )
+    for pool in by_remainder[:leftover_count]:
         shares[pool] += 1
     return shares
 
 
-def workers_to_empty(
+def select_workers_to_drain(
     snapshot: PoolSnapshot,
-    leaving: frozenset[str],
+    reserved: frozenset[str],
     count: int,
-    busy_machines: frozenset[str],
-    due_machines: frozenset[str] = frozenset(),
+    upkeep_hosts: frozenset[str],
+    due_hosts: frozenset[str] = frozenset(),
 ) -> frozenset[str]:
-    """Chooses workers that a pool gives away.
+    """Selects the workers whose hosts a pool releases.
 
-    Of workers that are empty, those that are due for upkeep go first: it costs no
-    capacity while they are off. Otherwise the emptiest go first.
+    Workers selected before come first, then those with the least CPU in use. Among
+    equally loaded workers those due for upkeep come first: upkeep of a standby host
+    costs no capacity.
 
-    :param leaving: workers that were chosen before; they stay chosen if possible.
-    :param count: machines that the pool gives away.
-    :param due_machines: machines whose upkeep has not begun.
+    :param reserved: workers that are selected already; they stay selected while they
+        are eligible.
+    :param count: number of hosts to release.
+    :param upkeep_hosts: hosts that are selected for upkeep and not back in service.
+    :param due_hosts: hosts whose upkeep is due and has not started.
     :returns: ids of the workers.
     """
     candidates = [
         worker
         for worker in snapshot.workers
-        if _is_usable(worker, busy_machines)
+        if _is_usable(worker, upkeep_hosts)
         and worker.is_in_contact
         and not worker.long_running_count
         and worker.machine
     ]
     candidates.sort(
         key=lambda worker: (
-            worker.worker_id not in leaving,
+            worker.worker_id not in reserved,
             worker.used.cpu_millicores,
-            worker.machine not in due_machines,
+            worker.machine not in due_hosts,
             worker.worker_id,
         )
     )
     return frozenset(worker.worker_id for worker in candidates[:count])
 
 
-def split_shortage(lendable: Sequence[tuple[str, int]], count: int) -> dict[str, int]:
+def split_shortage(
+    reassignable: Sequence[tuple[str, int]], count: int
+) -> dict[str, int]:
     """
-    :param lendable: machines that each pool may lend.
-    :param count: machines that other pools lack.
-    :returns: machines that each pool is asked for, from the one with most first.
+    :param reassignable: number of hosts that each pool may release to other pools.
+    :param count: number of hosts that other pools lack.
+    :returns: number of hosts requested from each pool, starting with the pool that may
+        release most.
     """
-    asked: dict[str, int] = {}
-    for pool, available in sorted(lendable, key=lambda item: -item[1]):
-        asked[pool] = min(available, count)
-        count -= asked[pool]
-    return asked
+    requested: dict[str, int] = {}
+    for pool, available_count in sorted(reassignable, key=lambda item: -item[1]):
+        requested[pool] = min(available_count, count)
+        count -= requested[pool]
+    return requested
 
 
-def _is_usable(worker: WorkerSnapshot, busy_machines: frozenset[str]) -> bool:
-    """Whether the worker takes tasks, or would if it weren't to be given away."""
-    is_staying = not worker.is_draining and worker.machine not in busy_machines
+def _is_usable(worker: WorkerSnapshot, upkeep_hosts: frozenset[str]) -> bool:
+    """Whether the worker accepts tasks, or would if it weren't reserved."""
+    is_staying = not worker.is_draining and worker.machine not in upkeep_hosts
     return worker.is_expected and is_staying
 
 
-def _capacity_of_one(snapshot: PoolSnapshot) -> float:
+def _mean_worker_millicores(snapshot: PoolSnapshot) -> float:
     workers = snapshot.workers
     if not workers:
         return 0.0
     return sum(worker.capacity.cpu_millicores for worker in workers) / len(workers)
 
 
-def _demand(snapshot: PoolSnapshot) -> float:
-    """Work that arrives faster than it is done needs more than what waits now."""
-    used = sum(worker.used.cpu_millicores for worker in snapshot.workers)
-    present = used + snapshot.waiting.cpu_millicores
-    return max(present, ARRIVING_RATIO * snapshot.arriving_millicores)
+def _demand_millicores(snapshot: PoolSnapshot) -> float:
+    """Returns the larger of the present demand and the demand of arriving work.
+
+    Work that arrives faster than it completes needs more capacity than the tasks
+    waiting now.
+    """
+    used_millicores = sum(worker.used.cpu_millicores for worker in snapshot.workers)
+    present_millicores = used_millicores + snapshot.waiting.cpu_millicores
+    return max(present_millicores, ARRIVING_RATIO * snapshot.arriving_millicores)
 
 
 def _missing_count(snapshot: PoolSnapshot, usable_count: int) -> int:
-    """Counts the machines that would take the work that waits.
+    """Counts the additional hosts that the waiting work requires.
 
-    Each long-running task that waits may need a machine of its own.
+    Each waiting long-running task may need a host of its own.
     """
     if snapshot.waiting_long_running_count:
         return snapshot.waiting_long_running_count
-    each = _capacity_of_one(snapshot)
-    if not each:
+    worker_millicores = _mean_worker_millicores(snapshot)
+    if not worker_millicores:
         return 0
-    needed = _demand(snapshot) / each / GROWTH_LOAD_RATIO
+    needed = _demand_millicores(snapshot) / worker_millicores / GROWTH_LOAD_RATIO
     return math.ceil(needed) - usable_count
--- a/src/sycamorecroft/capacity/tests/test_controller.py
+++ b/src/sycamorecroft/capacity/tests/test_controller.py
@@ -1,86 +1,83 @@
-"""Tests of moves between pools, named by load pattern."""
+"""Tests of host moves between pools, named by load pattern."""
 
 from standins.memory_partitions import MemoryPartitions
 from sycamorecroft.capacity.controller import CapacityController, CapacitySettings
 from sycamorecroft.clock import ManualClock
 from sycamorecroft.scheduling.model import Resources
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot, WorkerSnapshot
-from sycamorecroft.upkeep.ledger import WaveLedger
-from sycamorecroft.upkeep.machines import (
-    Machine,
-    MachineCalls,
-    MachineOrderStatus,
-    MachineState,
-)
+from sycamorecroft.upkeep.fleet_store import FleetStore
+from sycamorecroft.upkeep.hosts import Host, HostCalls, HostOrderStatus, HostState
 from sycamorecroft.upkeep.order_sender import OrderSender
 
-EACH = 64000
+WORKER_MILLICORES = 64000
 LEASE_MS = 3000
 STEP_S = 0.25
 
 
-class _Machines(MachineCalls):
-    """Machines that move at once."""
+class _FakeHosts(HostCalls):
+    """Fake platform whose hosts move immediately."""
 
     def __init__(self, pools: dict[str, str]) -> None:
         self.pools = pools
         self.moves: list[tuple[str, str]] = []
-        self.answer = MachineOrderStatus.DONE
+        self.status = HostOrderStatus.DONE
 
-    def list_machines(self):
+    def list_hosts(self):
         return tuple(
-            Machine(n, p, MachineState.UP, "dc", ("a",), Resources(EACH), f"w{n}")
+            Host(
+                n, p, HostState.UP, "dc", ("a",), Resources(WORKER_MILLICORES), f"w{n}"
+            )
             for n, p in sorted(self.pools.items())
         )
 
-    def move(self, machine, pool, token):
-        self.moves.append((machine, pool))
-        if self.answer is MachineOrderStatus.DONE:
-            self.pools[machine] = pool
-        return self.answer
+    def move(self, host, pool, token):
+        self.moves.append((host, pool))
+        if self.status is HostOrderStatus.DONE:
+            self.pools[host] = pool
+        return self.status
 
-    def begin_upkeep(self, machine, wave, token):
+    def start_upkeep(self, host, wave, token):
         raise NotImplementedError
 
 
 class _Fleet:
-    """Two pools of eight machines and a standby pool of four."""
+    """Two pools of eight hosts and a standby pool of four."""
 
-    def __init__(self, host: str = "h0") -> None:
+    def __init__(self, entry_host: str = "h0") -> None:
         self.clock = ManualClock()
         self.clock.advance(10.0)
         self.tables = MemoryPartitions()
         names = {f"{pool}{n}": pool for pool in ("p", "q") for n in range(8)}
         names |= {f"s{n}": "standby" for n in range(4)}
-        self.machines = _Machines(names)
-        self.controller = self.create(host)
-        self.busy: frozenset[str] = frozenset()
-        self.due: frozenset[str] = frozenset()
+        self.hosts = _FakeHosts(names)
+        self.controller = self.create(entry_host)
+        self.upkeep_hosts: frozenset[str] = frozenset()
+        self.due_hosts: frozenset[str] = frozenset()
         self.waiting = {"p": 0, "q": 0}
         self.used = {"p": 0, "q": 0}
 
     def create(
-        self, host: str, ledger_type: type[WaveLedger] = WaveLedger
+        self, entry_host: str, store_type: type[FleetStore] = FleetStore
     ) -> CapacityController:
-        ledger = ledger_type(self.tables, host)
+        fleet_store = store_type(self.tables, entry_host)
         return CapacityController(
-            ledger,
-            OrderSender(ledger, self.clock),
-            self.machines,
+            fleet_store,
+            OrderSender(fleet_store, self.clock),
+            self.hosts,
             self.clock,
             CapacitySettings(LEASE_MS),
             lambda: frozenset({"standby"}),
         )
 
     def snapshot(self, pool: str) -> PoolSnapshot:
-        names = [n for n, p in self.machines.pools.items() if p == pool]
+        names = [n for n, p in self.hosts.pools.items() if p == pool]
         reserved = self.controller.reserved_workers(pool)
         used = self.used[pool]
         workers = tuple(
             WorkerSnapshot(
                 f"w{name}",
                 name,
-                Resources(EACH),
+                Resources(WORKER_MILLICORES),
                 Resources(used // len(names)),
                 int(used > 0),
                 0,
@@ -98,141 +95,142 @@
             self.clock.advance(STEP_S)
             self.tables.store_time_ms += int(STEP_S * 1000)
             snapshots = {pool: self.snapshot(pool) for pool in ("p", "q")}
-            self.controller.step(snapshots, self.busy, self.due)
+            self.controller.step(snapshots, self.upkeep_hosts, self.due_hosts)
 
     def count(self, pool: str) -> int:
-        return sum(p == pool for p in self.machines.pools.values())
+        return sum(p == pool for p in self.hosts.pools.values())
 
 
-def test_turn_of_one_queue_after_another_moves_machines_straight():
-    """Guards against a busy pool that waits for machines which a quiet one keeps."""
+def test_hosts_move_directly_between_pools_with_alternating_load():
+    """Guards against a busy pool that waits for hosts which an idle pool keeps."""
     fleet = _Fleet()
-    fleet.waiting["p"] = 20 * EACH
+    fleet.waiting["p"] = 20 * WORKER_MILLICORES
     fleet.run(1.0)
     assert fleet.count("p") == 12
-    fleet.waiting = {"p": 0, "q": 20 * EACH}
+    fleet.waiting = {"p": 0, "q": 20 * WORKER_MILLICORES}
     fleet.run(1.5)
     assert fleet.count("q") > 8
-    assert "standby" not in {pool for _, pool in fleet.machines.moves}
+    assert "standby" not in {pool for _, pool in fleet.hosts.moves}
 
 
-def test_machine_given_back_is_free_for_another_pool_at_once():
-    """Guards against a lease time between moves that different hosts order."""
+def test_released_host_is_available_to_another_pool_immediately():
+    """Guards against a lease time between moves ordered by different entry hosts."""
     fleet = _Fleet()
-    fleet.waiting["p"] = 10 * EACH
+    fleet.waiting["p"] = 10 * WORKER_MILLICORES
     fleet.run(1.0)
     assert fleet.count("p") > 8
     fleet.waiting["p"] = 0
     fleet.run(4.0)
     assert fleet.count("standby") > 0
-    fleet.waiting["q"] = 10 * EACH
+    fleet.waiting["q"] = 10 * WORKER_MILLICORES
     fleet.run(2 * STEP_S)
     assert fleet.count("q") > 8
 
 
-def test_two_queues_at_once_share_the_machines():
-    """Guards against one queue that takes all free machines."""
+def test_two_overloaded_pools_share_the_standby_hosts():
+    """Guards against one pool that takes all standby hosts."""
     fleet = _Fleet()
-    fleet.used = {"p": 8 * EACH, "q": 8 * EACH}
-    fleet.waiting = {"p": 20 * EACH, "q": 20 * EACH}
+    fleet.used = {"p": 8 * WORKER_MILLICORES, "q": 8 * WORKER_MILLICORES}
+    fleet.waiting = {"p": 20 * WORKER_MILLICORES, "q": 20 * WORKER_MILLICORES}
     fleet.run(1.0)
     assert fleet.count("p") == fleet.count("q") == 10
 
 
-def test_pool_that_needs_machines_keeps_those_that_it_was_to_give_away():
-    """Guards against moves of a machine to the pool that it is in.
+def test_pool_that_needs_hosts_keeps_its_reserved_ones():
+    """Guards against moves of a host to the pool that it is already in.
 
-    Seen on a grown site after all hosts had lost power: 57 such moves in four seconds.
+    Observed on a large simulated site after a power failure of all hosts: 57 such moves
+    in 4 s.
     """
     fleet = _Fleet()
     fleet.run(2.25)
     assert fleet.controller.reserved_workers("p")
-    fleet.waiting["p"] = 20 * EACH
+    fleet.waiting["p"] = 20 * WORKER_MILLICORES
     fleet.run(2.0)
-    assert all(not machine.startswith("p") for machine, _ in fleet.machines.moves)
+    assert all(not host.startswith("p") for host, _ in fleet.hosts.moves)
 
 
-def test_overload_of_one_queue_does_not_keep_machines_from_another():
-    """Guards against a backlog that holds all machines while another queue starves.
+def test_overloaded_pool_does_not_starve_another():
+    """Guards against a backlog that occupies all hosts while another pool starves.
 
-    Seen on a grown site after a loss of power: one pool kept 102 machines for late
-    jobs for nine seconds, and another had 18 in its turn.
+    Observed on a large simulated site after a power failure: one pool kept 102 hosts
+    for late jobs for 9 s while a pool with current load had 18.
     """
     fleet = _Fleet()
-    fleet.used["p"] = 4 * EACH
-    fleet.waiting["p"] = 90 * EACH
+    fleet.used["p"] = 4 * WORKER_MILLICORES
+    fleet.waiting["p"] = 90 * WORKER_MILLICORES
     fleet.run(2.0)
     assert fleet.count("p") == 14
-    fleet.used["q"] = 6 * EACH
-    fleet.waiting["q"] = 20 * EACH
+    fleet.used["q"] = 6 * WORKER_MILLICORES
+    fleet.waiting["q"] = 20 * WORKER_MILLICORES
     fleet.run(2.0)
     reserved = fleet.controller.reserved_workers("p")
     assert len(reserved) == 4
     assert not fleet.controller.reserved_workers("q")
 
 
-def test_busy_worker_is_not_taken():
-    """Guards against tasks that end with the machine they run on."""
+def test_busy_worker_is_not_moved():
+    """Guards against tasks that are killed by the move of their host."""
     fleet = _Fleet()
-    fleet.used["p"] = EACH // 2
+    fleet.used["p"] = WORKER_MILLICORES // 2
     fleet.run(3.0)
-    fleet.waiting["q"] = 40 * EACH
+    fleet.waiting["q"] = 40 * WORKER_MILLICORES
     fleet.run(3.0)
-    assert not [m for m, _ in fleet.machines.moves if m.startswith("p")]
+    assert not [host for host, _ in fleet.hosts.moves if host.startswith("p")]
 
 
-def test_machines_due_for_upkeep_stay():
-    """Guards against a move of a machine whose upkeep is about to begin."""
+def test_hosts_selected_for_upkeep_are_not_moved():
+    """Guards against moving a host whose upkeep is about to start."""
     fleet = _Fleet()
-    fleet.busy = frozenset({"s0", "s1", "p0"})
+    fleet.upkeep_hosts = frozenset({"s0", "s1", "p0"})
     fleet.run(3.0)
-    fleet.waiting["q"] = 40 * EACH
+    fleet.waiting["q"] = 40 * WORKER_MILLICORES
     fleet.run(3.0)
-    assert not {m for m, _ in fleet.machines.moves} & fleet.busy
+    assert not {host for host, _ in fleet.hosts.moves} & fleet.upkeep_hosts
 
 
-def test_machines_due_for_upkeep_are_switched_off_first_and_on_last():
-    """Guards against upkeep that takes machines which their pool could use."""
+def test_hosts_due_for_upkeep_go_to_standby_first_and_leave_it_last():
+    """Guards against upkeep of hosts that their pool could use instead."""
     fleet = _Fleet()
-    fleet.due = frozenset({"p6", "p7", "s0", "s1", "s2"})
-    fleet.waiting["q"] = 8 * EACH
+    fleet.due_hosts = frozenset({"p6", "p7", "s0", "s1", "s2"})
+    fleet.waiting["q"] = 8 * WORKER_MILLICORES
     fleet.run(STEP_S)
-    assert [machine for machine, _ in fleet.machines.moves] == ["s3"]
-    fleet.machines.moves.clear()
+    assert [host for host, _ in fleet.hosts.moves] == ["s3"]
+    fleet.hosts.moves.clear()
     fleet.waiting["q"] = 0
     fleet.run(3.0)
-    given = {m for m, pool in fleet.machines.moves if pool == "standby"}
-    assert given & {"p6", "p7"} == {"p6", "p7"}
+    to_standby = {host for host, pool in fleet.hosts.moves if pool == "standby"}
+    assert to_standby & {"p6", "p7"} == {"p6", "p7"}
 
 
-def test_successor_waits_before_it_moves_the_same_machine():
-    """Guards against holders that take turns within the lease time."""
+def test_new_controller_waits_before_it_moves_the_same_host():
+    """Guards against orders of two holders for one host within the lease time."""
     fleet = _Fleet()
-    fleet.machines.answer = MachineOrderStatus.UNKNOWN
-    fleet.waiting["q"] = 40 * EACH
+    fleet.hosts.status = HostOrderStatus.UNKNOWN
+    fleet.waiting["q"] = 40 * WORKER_MILLICORES
     fleet.run(STEP_S)
-    ordered = {machine for machine, _ in fleet.machines.moves}
+    ordered = {host for host, _ in fleet.hosts.moves}
     assert ordered
     fleet.controller = fleet.create("h1")
-    fleet.machines.moves.clear()
+    fleet.hosts.moves.clear()
     fleet.run(2.0)
-    assert not ordered & {machine for machine, _ in fleet.machines.moves}
+    assert not ordered & {host for host, _ in fleet.hosts.moves}
     fleet.run(3.0)
-    assert ordered & {machine for machine, _ in fleet.machines.moves}
+    assert ordered & {host for host, _ in fleet.hosts.moves}
 
 
-def test_claim_that_waited_is_not_sent():
-    """Guards against an order that a host sends after it was suspended."""
+def test_order_with_an_outdated_claim_is_not_sent():
+    """Guards against an order that an entry host sends after it was suspended."""
     fleet = _Fleet()
-    ledger_claim = WaveLedger.claim_orders
+    claim_orders = FleetStore.claim_orders
 
-    class _Ledger(WaveLedger):
+    class _SlowFleetStore(FleetStore):
         def claim_orders(self, *arguments):
-            token = ledger_claim(self, *arguments)
+            token = claim_orders(self, *arguments)
             fleet.clock.advance(4.0)
             return token
 
-    fleet.controller = fleet.create("h0", _Ledger)
-    fleet.waiting["q"] = 40 * EACH
+    fleet.controller = fleet.create("h0", _SlowFleetStore)
+    fleet.waiting["q"] = 40 * WORKER_MILLICORES
     fleet.run(STEP_S)
-    assert not fleet.machines.moves
+    assert not fleet.hosts.moves
--- a/src/sycamorecroft/capacity/tests/test_marks.py
+++ b/src/sycamorecroft/capacity/tests/test_marks.py
@@ -1,9 +1,9 @@
-"""Tests of the marks between the machines' owner and the services' owners."""
+"""Tests of marks between the fleet controller and service owners."""
 
 import pytest
 
 from standins.memory_partitions import MemoryPartitions
-from sycamorecroft.capacity.marks import MarkBook
+from sycamorecroft.capacity.marks import MarkStore
 from sycamorecroft.errors import StoreConflictError
 from sycamorecroft.ownership.rows import OWNERS_TABLE, ROW_KEY
 from sycamorecroft.scheduling.model import Resources
@@ -31,42 +31,43 @@
     return PoolSnapshot(0.0, (worker,), marks_version=marks_version)
 
 
-def _is_emptied(book, marks_version):
-    return book.confirmed(_snapshot(marks_version)).workers[0].is_emptied
+def _is_drained(store, marks_version):
+    return store.with_applied_marks(_snapshot(marks_version)).workers[0].is_emptied
 
 
-def test_worker_counts_as_emptied_only_after_its_mark_was_seen():
-    """Guards against a machine that is moved while tasks are placed on it again.
+def test_worker_counts_as_drained_only_after_its_mark_was_applied():
+    """Guards against moving a host while tasks are placed on it again.
 
-    A load from before the worker was given free may show it reserved and empty.
+    A snapshot taken before the reservation was lifted may show the worker as reserved
+    and idle.
     """
     tables = MemoryPartitions()
-    book = MarkBook(tables, _claim(tables))
-    book.write({"rating": RESERVED})
+    store = MarkStore(tables, _claim(tables))
+    store.write({"rating": RESERVED})
     first_version = tables.version
-    assert _is_emptied(book, first_version)
-    book.write({"rating": WorkerMarks()})
-    book.write({"rating": RESERVED})
-    assert not _is_emptied(book, first_version)
-    assert _is_emptied(book, tables.version)
+    assert _is_drained(store, first_version)
+    store.write({"rating": WorkerMarks()})
+    store.write({"rating": RESERVED})
+    assert not _is_drained(store, first_version)
+    assert _is_drained(store, tables.version)
 
 
-def test_successor_knows_the_marks_of_before():
-    """Guards against a worker that stays reserved after the machines' owner is gone."""
+def test_new_controller_loads_stored_marks():
+    """Guards against workers that stay reserved after the fleet controller fails."""
     tables = MemoryPartitions()
-    MarkBook(tables, _claim(tables)).write({"rating": RESERVED})
+    MarkStore(tables, _claim(tables)).write({"rating": RESERVED})
     version = tables.version
-    book = MarkBook(tables, _claim(tables))
-    book.load()
-    assert _is_emptied(book, version)
-    book.write({"rating": WorkerMarks()})
-    assert not _is_emptied(book, version)
+    store = MarkStore(tables, _claim(tables))
+    store.load()
+    assert _is_drained(store, version)
+    store.write({"rating": WorkerMarks()})
+    assert not _is_drained(store, version)
 
 
-def test_former_owner_writes_no_marks():
-    """Guards against marks of a host that was suspended and lost the machines."""
+def test_previous_controller_cannot_write_marks():
+    """Guards against marks of an entry host that lost its claim while suspended."""
     tables = MemoryPartitions()
-    former = MarkBook(tables, _claim(tables))
+    previous = MarkStore(tables, _claim(tables))
     _claim(tables)
     with pytest.raises(StoreConflictError):
-        former.write({"rating": RESERVED})
+        previous.write({"rating": RESERVED})
--- a/src/sycamorecroft/node/machine_control.py
+++ b/src/sycamorecroft/node/machine_control.py
@@ -7,13 +7,13 @@
 import structlog
 
 from sycamorecroft.capacity.controller import CapacityController, CapacitySettings
-from sycamorecroft.capacity.marks import MarkBook
+from sycamorecroft.capacity.marks import MarkStore
 from sycamorecroft.clock import Clock
 from sycamorecroft.errors import PlatformError, RecordError
 from sycamorecroft.node.table_follower import TableFollower
 from sycamorecroft.ownership.committer import ServiceClaim
 from sycamorecroft.ownership.rows import OWNERS_TABLE, ROW_KEY
-from sycamorecroft.platform import HttpMachineCalls, encode_wave_status
+from sycamorecroft.platform import HttpHostCalls, encode_wave_status
 from sycamorecroft.platform.names import STATUS_TABLE, WAVE_PREFIX
 from sycamorecroft.scheduling.model import Resources, Service
 from sycamorecroft.scheduling.pool_rows import (
@@ -35,7 +35,7 @@
 )
 from sycamorecroft.store.transport import PlatformConnection
 from sycamorecroft.upkeep.controller import Pool, UpkeepController, UpkeepSettings
-from sycamorecroft.upkeep.ledger import WaveLedger
+from sycamorecroft.upkeep.fleet_store import FleetStore
 from sycamorecroft.upkeep.order_sender import OrderSender
 from sycamorecroft.upkeep.waves import Wave
 
@@ -90,10 +90,10 @@
         self._stopped = threading.Event()
         check = Check(OWNERS_TABLE, ROW_KEY, claim.owner_version, claim.service)
         self._owner_check = check
-        self._marks = MarkBook(tables, check)
+        self._marks = MarkStore(tables, check)
         self._marks.load()
-        ledger = WaveLedger(tables, settings.host, check)
-        calls = HttpMachineCalls(
+        ledger = FleetStore(tables, settings.host, check)
+        calls = HttpHostCalls(
             PlatformConnection(settings.machines.address, timeout_s=CALL_TIMEOUT_S)
         )
         self._calls = calls
@@ -177,7 +177,7 @@
         snapshots = self._snapshots()
         # Work that waits goes before upkeep, which has its time.
         self._capacity.step(
-            snapshots, self._upkeep.busy_machines, self._upkeep.due_machines
+            snapshots, self._upkeep.upkeep_hosts, self._upkeep.due_hosts
         )
         self._step_upkeep(snapshots)
         self._write_marks(snapshots)
@@ -193,7 +193,7 @@
                 for name, load in self._loads.items()
                 if load.received_s > limit_s and name in names
             }
-        return {name: self._marks.confirmed(s) for name, s in recent.items()}
+        return {name: self._marks.with_applied_marks(s) for name, s in recent.items()}
 
     def _step_upkeep(self, snapshots: dict[str, PoolSnapshot]) -> None:
         now_s = self._clock.monotonic_s()
@@ -218,7 +218,7 @@
         if now_s < self._next_sizes_s:
             return
         self._next_sizes_s = now_s + SIZES_INTERVAL_S
-        sizes = frozenset(machine.capacity for machine in self._calls.list_machines())
+        sizes = frozenset(machine.capacity for machine in self._calls.list_hosts())
         if sizes == self._sizes:
             return
         value = encode_row(MachineSizesRow(tuple(sorted(sizes))))
--- a/src/sycamorecroft/node/wave_book.py
+++ b/src/sycamorecroft/node/wave_book.py
@@ -42,7 +42,7 @@
                 "wave_seen",
                 wave=wave.number,
                 version=row_version,
-                machines_count=len(wave.machines),
+                machines_count=len(wave.hosts),
                 concurrent_limit_count=wave.concurrent_limit_count,
                 duration_s=wave.duration_s,
             )
--- a/src/sycamorecroft/platform/__init__.py
+++ b/src/sycamorecroft/platform/__init__.py
@@ -1,7 +1,7 @@
-"""Adapter to the users' platform: names, formats and calls; it decides nothing."""
+"""Adapter to the users' platform: its names, wire formats and calls, without logic."""
 
 from sycamorecroft.platform.advice import HttpAdviceCalls
-from sycamorecroft.platform.machines import HttpMachineCalls
+from sycamorecroft.platform.hosts import HttpHostCalls
 from sycamorecroft.platform.records import (
     decode_fleet,
     decode_wave,
@@ -14,7 +14,7 @@
 
 __all__ = [
     "HttpAdviceCalls",
-    "HttpMachineCalls",
+    "HttpHostCalls",
     "HttpWorkerCalls",
     "PlatformTables",
     "decode_fleet",
--- a/src/sycamorecroft/platform/advice.py
+++ b/src/sycamorecroft/platform/advice.py
@@ -1,4 +1,4 @@
-"""Calls to the service that approves workers for steps."""
+"""HTTP client of the advice service, which approves workers for steps."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class HttpAdviceCalls(AdviceCalls):
-    """Advice over HTTP."""
+    """Calls to the advice service over HTTP."""
 
     def __init__(self, connection: PlatformConnection) -> None:
         self._connection = connection
@@ -22,12 +22,12 @@
         )
         try:
             if reply.status != STATUS_OK:
-                raise ValueError(f"status {reply.status}")
+                raise ValueError(f"expected status 200, got {reply.status}")
             body = msgspec.json.decode(reply.body)
             return Approvals(
                 tuple(Approval(*row[:2]) for row in body["approved"]),
                 body["valid-ms"] / 1000,
             )
         except (msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
-            message = f"{reply.call}: answer not understood: {error}"
+            message = f"{reply.call}: malformed response: {error}"
             raise PlatformError(message) from error
--- /dev/null
+++ b/src/sycamorecroft/platform/hosts.py
@@ -0,0 +1,99 @@
+"""HTTP client that lists hosts, moves them between pools and starts their upkeep."""
+
+from urllib.parse import urlencode
+
+import msgspec
+
+from sycamorecroft.errors import PlatformError, StoreUnavailableError
+from sycamorecroft.scheduling.model import Resources
+from sycamorecroft.store.transport import (
+    STATUS_CONFLICT,
+    STATUS_OK,
+    Method,
+    PlatformConnection,
+)
+from sycamorecroft.upkeep.hosts import (
+    FencingToken,
+    Host,
+    HostCalls,
+    HostOrderStatus,
+    HostState,
+)
+
+_STATES = {
+    "up": HostState.UP,
+    "moving": HostState.MOVING,
+    "upkeep": HostState.UPKEEP,
+    "down": HostState.DOWN,
+}
+
+
+class HttpHostCalls(HostCalls):
+    """Host control of the platform over HTTP. Thread-safe."""
+
+    def __init__(self, connection: PlatformConnection) -> None:
+        self._connection = connection
+
+    def list_hosts(self) -> tuple[Host, ...]:
+        hosts: list[Host] = []
+        page_token = ""
+        while True:
+            query = f"?{urlencode({'page-token': page_token})}" if page_token else ""
+            reply = self._connection.call(Method.GET, f"/api/machines{query}")
+            if reply.status != STATUS_OK:
+                raise PlatformError(
+                    f"{reply.call}: expected status 200, got {reply.status}"
+                )
+            body = msgspec.json.decode(reply.body)
+            hosts.extend(_decode_host(wire) for wire in body["machines"])
+            page_token = body.get("next-token") or ""
+            if not page_token:
+                return tuple(hosts)
+
+    def move(self, host: str, pool: str, token: FencingToken) -> HostOrderStatus:
+        body = {"machine": host, "pool": pool}
+        return self._order("/api/machine-move", body, token)
+
+    def start_upkeep(
+        self, host: str, wave: int, token: FencingToken
+    ) -> HostOrderStatus:
+        body = {"machine": host, "wave": wave}
+        return self._order("/api/machine-upkeep", body, token)
+
+    def _order(
+        self, path: str, body: dict[str, object], token: FencingToken
+    ) -> HostOrderStatus:
+        headers = {
+            "Content-Type": "application/json",
+            "X-Lease-Holder": token.holder,
+            "X-Fencing-Token": str(token.number),
+        }
+        try:
+            reply = self._connection.call(
+                Method.POST, path, body=msgspec.json.encode(body), headers=headers
+            )
+        except StoreUnavailableError:
+            return HostOrderStatus.NOT_DONE
+        except PlatformError:
+            return HostOrderStatus.UNKNOWN
+        if reply.status == STATUS_OK:
+            return HostOrderStatus.DONE
+        if reply.status == STATUS_CONFLICT:
+            return HostOrderStatus.REFUSED
+        return HostOrderStatus.NOT_DONE
+
+
+def _decode_host(wire: dict[str, object]) -> Host:
+    return Host(
+        name=wire["machine"],
+        pool=wire["pool"],
+        state=_STATES.get(wire["state"], HostState.DOWN),
+        data_centre=wire.get("zone", ""),
+        labels=tuple(wire.get("labels", ())),
+        capacity=Resources(
+            wire["capacity"].get("cpu", 0),
+            wire["capacity"].get("mem-mb", 0),
+            wire["capacity"].get("gpu", 0),
+        ),
+        worker_id=wire.get("id") or "",
+    )
--- a/src/sycamorecroft/platform/names.py
+++ b/src/sycamorecroft/platform/names.py
@@ -1,4 +1,4 @@
-"""Tables and keys of the platform's store."""
+"""Names of the tables, keys and key prefixes in the platform's store."""
 
 OPERATOR_TABLE = "op"
 CONFIGURATION_KEY = "config"
--- a/src/sycamorecroft/platform/records.py
+++ b/src/sycamorecroft/platform/records.py
@@ -1,4 +1,4 @@
-"""Decodes what the operator and the workers write into the store."""
+"""Decodes the rows that operators and workers write, and encodes the wave status."""
 
 from typing import Any, TypedDict
 
@@ -48,17 +48,21 @@
 
 def decode_worker(worker_id: str, value: bytes) -> WorkerEntry:
     """
-    :param value: row of a worker.
-    :returns: the entry.
-    :raises RecordError: when the row can't be the entry of a worker.
+    :param worker_id: key of the row.
+    :param value: JSON text of the row.
+    :returns: the registration.
+    :raises RecordError: when the row isn't a valid registration.
     """
     try:
         wire = msgspec.json.decode(value, type=_WireWorker)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise RecordError(f"entry of worker {worker_id}: {error}") from error
+        raise RecordError(f"registration of worker {worker_id}: {error}") from error
     missing = [name for name in _WORKER_REQUIRED if name not in wire]
     if missing or wire["state"] not in (_READY, _DRAINING):
-        message = f"entry of worker {worker_id}: missing {missing} or unknown state"
+        message = (
+            f"registration of worker {worker_id}: missing fields {missing} or a state "
+            "other than ready and draining"
+        )
         raise RecordError(message)
     capacity = wire["capacity"]
     return WorkerEntry(
@@ -79,8 +83,8 @@
 
 def decode_fleet(value: bytes) -> FleetSnapshot:
     """
-    :param value: row of the configuration.
-    :returns: the configuration in full.
+    :param value: JSON text of the configuration row.
+    :returns: the complete configuration.
     :raises RecordError: when it can't be decoded.
     """
     try:
@@ -131,7 +135,7 @@
 
 def decode_wave(value: bytes) -> Wave:
     """
-    :param value: row of a wave of upkeep.
+    :param value: JSON text of the row of a wave.
     :returns: the wave.
     :raises RecordError: when it can't be decoded.
     """
@@ -139,16 +143,16 @@
         wire = msgspec.json.decode(value)
         return Wave(
             number=int(wire["wave"]),
-            machines=tuple(map(str, wire["machines"])),
+            hosts=tuple(map(str, wire["machines"])),
             duration_s=float(wire["duration-s"]),
             concurrent_limit_count=int(wire["max-count"]),
         )
     except _DECODE_ERRORS as error:
-        raise RecordError(f"wave of upkeep: {error!r}") from error
+        raise RecordError(f"upkeep wave: {error!r}") from error
 
 
 def encode_wave_status(is_complete: bool) -> bytes:
     """
-    :returns: row that tells the operator how far a wave is.
+    :returns: JSON text of the row that reports the state of a wave to the operator.
     """
     return msgspec.json.encode({"state": "complete" if is_complete else "running"})
--- a/src/sycamorecroft/platform/submissions.py
+++ b/src/sycamorecroft/platform/submissions.py
@@ -1,4 +1,4 @@
-"""Decodes job submissions."""
+"""Decodes and validates job submissions."""
 
 from typing import TypedDict
 
@@ -49,14 +49,14 @@
 
 def decode_job(body: bytes) -> JobSpec:
     """
-    :param body: body of a submission.
+    :param body: JSON body of a submission.
     :returns: the job.
-    :raises RequestError: when the body is no job that can run.
+    :raises RequestError: when the body isn't a valid job.
     """
     try:
         wire = msgspec.json.decode(body, type=_WireJob)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise RequestError(f"body is no job: {error}") from error
+        raise RequestError(f"body is not a valid job: {error}") from error
     steps = tuple(_step(step) for step in wire.get("phases", ()))
     job = JobSpec(
         text=wire.get("spec", ""),
@@ -92,17 +92,19 @@
 
 def _check_job(job: JobSpec) -> None:
     if len(job.text.encode()) > TEXT_LIMIT_BYTES:
-        raise RequestError(f"spec is longer than {TEXT_LIMIT_BYTES} bytes")
+        raise RequestError(f"spec must not be longer than {TEXT_LIMIT_BYTES} bytes")
     if not job.steps:
-        raise RequestError("a job needs one step or more, got none")
+        raise RequestError("a job must have at least one step, got none")
     if min(job.occurrences_count, job.start_at_ms, job.interval_ms) < 0:
-        raise RequestError("times of a schedule must not be negative")
+        raise RequestError("times, start-at-ms and interval-ms must not be negative")
     for number, step in enumerate(job.steps):
         if step.tasks_count < 1:
-            message = f"step {number} needs 1 task or more, got {step.tasks_count}"
+            message = f"step {number} must have at least 1 task, got {step.tasks_count}"
             raise RequestError(message)
         if min(*step.demand, step.tasks_per_worker_limit, step.may_miss_count) < 0:
-            raise RequestError(f"step {number} has a negative demand or limit")
-        if any(not 0 <= other < number for other in step.after):
-            message = f"step {number} may only wait for earlier steps"
+            raise RequestError(
+                f"demand and limits of step {number} must not be negative"
+            )
+        if any(not 0 <= dependency < number for dependency in step.after):
+            message = f"step {number} may depend on steps before it only"
             raise RequestError(message)
--- a/src/sycamorecroft/platform/tables.py
+++ b/src/sycamorecroft/platform/tables.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store of rows."""
+"""HTTP client of the platform's table store."""
 
 import base64
 from collections.abc import Sequence
@@ -27,12 +27,12 @@
     Reply,
 )
 
-STATUS_CONDITION_FAILED = 412
-STATUS_HISTORY_LOST = 410
-# Added to the wait of a feed for the way there and back.
-FEED_MARGIN_S = 1.0
-# Sorts before every printable character, so that the range from a key to the key with
-# this suffix holds one row.
+STATUS_PRECONDITION_FAILED = 412
+STATUS_GONE = 410
+# Added to the wait time of a feed call for the network round trip.
+FEED_TIMEOUT_MARGIN_S = 1.0
+# A space sorts before every other printable character: the range from a key to the same
+# key with this suffix contains only the row of that key.
 _KEY_END = " "
 
 
@@ -44,17 +44,17 @@
 
 
 class PlatformTables(PartitionedTableService):
-    """Rows of the platform's store over HTTP. Thread-safe."""
+    """Table service of the platform over HTTP. Thread-safe."""
 
     def __init__(
-        self, connection: PlatformConnection, feeds: PlatformConnection
+        self, connection: PlatformConnection, feed_connection: PlatformConnection
     ) -> None:
         """
-        :param connection: for calls that are answered at once.
-        :param feeds: for calls that wait for changes.
+        :param connection: for calls that the store answers immediately.
+        :param feed_connection: for calls in which the store waits for changes.
         """
         self._connection = connection
-        self._feeds = feeds
+        self._feed_connection = feed_connection
 
     def read(self, table: str, key: str, *, purpose: StorePurpose) -> Row | None:
         scan = self.scan_part(
@@ -72,7 +72,9 @@
                 Method.GET, f"/api/rows-parts?{urlencode(query)}"
             )
             if reply.status != STATUS_OK:
-                raise PlatformError(f"{reply.call}: status {reply.status}")
+                raise PlatformError(
+                    f"{reply.call}: expected status 200, got {reply.status}"
+                )
             body = msgspec.json.decode(reply.body)
             parts.extend(body["parts"])
             if not body.get("has-more") or not body["parts"]:
@@ -115,11 +117,16 @@
         query = urlencode(
             {"table": table, "after": after_version, "wait-ms": int(wait_s * 1000)}
         )
-        reply = self._feeds.call(
-            Method.GET, f"/api/rows-feed?{query}", timeout_s=wait_s + FEED_MARGIN_S
+        reply = self._feed_connection.call(
+            Method.GET,
+            f"/api/rows-feed?{query}",
+            timeout_s=wait_s + FEED_TIMEOUT_MARGIN_S,
         )
-        if reply.status == STATUS_HISTORY_LOST:
-            message = f"changes of table {table} after {after_version} are gone"
+        if reply.status == STATUS_GONE:
+            message = (
+                f"changes of table {table} after version {after_version} are no longer "
+                "available; read the table again"
+            )
             raise StoreHistoryLostError(message)
         page = _decode_rows(reply)
         return Scan(page.rows, page.version, page.store_time_ms)
@@ -130,7 +137,7 @@
         body = {
             "expected-rev": [_check_body(check) for check in checks],
             "puts": [_put_body(put) for put in puts if put.value is not None],
-            "deletes": [_row_name(put) for put in puts if put.value is None],
+            "deletes": [_row_address(put) for put in puts if put.value is None],
         }
         reply = self._connection.call(
             Method.POST,
@@ -138,8 +145,8 @@
             body=msgspec.json.encode(body),
             headers={"Content-Type": "application/json"},
         )
-        if reply.status == STATUS_CONDITION_FAILED:
-            message = f"a condition of a transaction on {_tables_of(puts)} failed"
+        if reply.status == STATUS_PRECONDITION_FAILED:
+            message = f"check of a transaction on {_table_names(puts)} failed"
             raise StoreConflictError(message, _decode_rows(reply, None).rows)
         return _decode_rows(reply).version
 
@@ -153,27 +160,27 @@
         return _decode_rows(self._connection.call(Method.GET, path))
 
 
-def _tables_of(puts: Sequence[Put]) -> str:
+def _table_names(puts: Sequence[Put]) -> str:
     return ", ".join(sorted({put.table for put in puts}))
 
 
-def _row_name(row: Check | Put) -> dict[str, object]:
+def _row_address(row: Check | Put) -> dict[str, object]:
     return {"table": row.table, "part": row.part, "key": row.key}
 
 
 def _check_body(check: Check) -> dict[str, object]:
-    return _row_name(check) | {"ver": check.version or 0}
+    return _row_address(check) | {"ver": check.version or 0}
 
 
 def _put_body(put: Put) -> dict[str, object]:
     value = base64.b64encode(put.value or b"").decode()
-    return _row_name(put) | {"value": value}
+    return _row_address(put) | {"value": value}
 
 
 def _decode_rows(reply: Reply, expected_status: int | None = STATUS_OK) -> _Rows:
     if expected_status is not None and reply.status != expected_status:
         text = reply.body[:200].decode(errors="replace")
-        raise PlatformError(f"{reply.call}: status {reply.status}: {text}")
+        raise PlatformError(f"{reply.call}: unexpected status {reply.status}: {text}")
     try:
         body = msgspec.json.decode(reply.body)
         return _Rows(
@@ -183,7 +190,7 @@
             has_more=bool(body.get("has-more")),
         )
     except (msgspec.DecodeError, AttributeError, KeyError, ValueError) as error:
-        raise PlatformError(f"{reply.call}: answer not understood: {error}") from error
+        raise PlatformError(f"{reply.call}: malformed response: {error}") from error
 
 
 def _decode_row(body: dict[str, object]) -> Row:
--- a/src/sycamorecroft/platform/tests/test_records.py
+++ b/src/sycamorecroft/platform/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of decoding what others write into the store."""
+"""Tests of decoding rows that operators and workers write into the store."""
 
 import json
 
@@ -28,14 +28,14 @@
     return json.dumps(WORKER | changes).encode()
 
 
-def test_entry_of_a_worker():
-    """Guards against fields that get lost on the way in."""
-    entry = decode_worker("i-1", _encode(state="draining"))
-    assert entry.worker_id == "i-1"
-    assert entry.rack == "r1-3"
-    assert entry.is_draining
-    assert entry.capacity.cpu_millicores == 16000
-    assert entry.born_ms == 17
+def test_worker_registration():
+    """Guards against fields that are dropped while a registration is decoded."""
+    registration = decode_worker("i-1", _encode(state="draining"))
+    assert registration.worker_id == "i-1"
+    assert registration.rack == "r1-3"
+    assert registration.is_draining
+    assert registration.capacity.cpu_millicores == 16000
+    assert registration.born_ms == 17
 
 
 @pytest.mark.parametrize(
@@ -51,30 +51,30 @@
         json.dumps({"service": "rating"}).encode(),
     ],
 )
-def test_entries_of_other_writers_name_no_worker(value):
-    """Guards against tasks for an entry that can't be trusted."""
+def test_malformed_registrations_are_rejected(value):
+    """Guards against tasks placed on a worker whose registration is malformed."""
     with pytest.raises(RecordError):
         decode_worker("i-1", value)
 
 
 @pytest.mark.parametrize("value", [b"", b"5", b'{"version": 1}', b'{"version": "x"}'])
-def test_bad_configurations_are_errors(value):
-    """Guards against half a configuration in force."""
+def test_malformed_configurations_are_rejected(value):
+    """Guards against applying an incomplete configuration."""
     with pytest.raises(RecordError):
         decode_fleet(value)
 
 
-def test_wave():
-    """Guards against a wave whose limit is read wrongly."""
+def test_wave_fields_are_decoded():
+    """Guards against a wave whose hosts or concurrency limit are decoded wrongly."""
     wave = decode_wave(
         b'{"wave":1,"machines":["m-0","m-1"],"duration-s":20,"max-count":1}'
     )
-    assert wave.machines == ("m-0", "m-1")
+    assert wave.hosts == ("m-0", "m-1")
     assert wave.concurrent_limit_count == 1
 
 
 def test_job_with_all_fields():
-    """Guards against a property of a step that is dropped."""
+    """Guards against step properties that are dropped while a job is decoded."""
     step = {
         "count": 4,
         "cpu": 500,
@@ -96,12 +96,16 @@
     }
     job = {"spec": "s", "phases": [step], "times": 3, "start-at-ms": 5}
     decoded = decode_job(json.dumps(job | {"interval-ms": 7}).encode())
-    found = decoded.steps[0]
-    assert found.demand == (500, 256, 1)
-    assert found.reserved.cpu_millicores == 0
-    assert (found.is_checkpointed, found.is_gang, found.is_rack_local) == (True,) * 3
-    assert (found.required_label, found.preferred_rack) == ("b", "r1")
-    assert (found.tasks_per_worker_limit, found.may_miss_count) == (2, 1)
-    assert (found.is_speculative, found.is_long_running) == (True, True)
-    assert (found.image, found.goal_ms) == ("i", 50)
+    decoded_step = decoded.steps[0]
+    assert decoded_step.demand == (500, 256, 1)
+    assert decoded_step.reserved.cpu_millicores == 0
+    assert (
+        decoded_step.is_checkpointed,
+        decoded_step.is_gang,
+        decoded_step.is_rack_local,
+    ) == (True,) * 3
+    assert (decoded_step.required_label, decoded_step.preferred_rack) == ("b", "r1")
+    assert (decoded_step.tasks_per_worker_limit, decoded_step.may_miss_count) == (2, 1)
+    assert (decoded_step.is_speculative, decoded_step.is_long_running) == (True, True)
+    assert (decoded_step.image, decoded_step.goal_ms) == ("i", 50)
     assert decoded[2:] == (3, 5, 7)
--- a/src/sycamorecroft/platform/workers.py
+++ b/src/sycamorecroft/platform/workers.py
@@ -1,4 +1,4 @@
-"""Calls to one worker over HTTP."""
+"""HTTP client of one worker."""
 
 import msgspec
 
@@ -26,24 +26,28 @@
     Reply,
 )
 
-STATUS_OTHER_INSTANCE = 421
+STATUS_MISDIRECTED_REQUEST = 421
 ORDER_TIMEOUT_S = 0.5
-HOLD_MARGIN_S = 1.0
+RENEWAL_MARGIN_S = 1.0
 
 _NOT_STARTED_REASONS = ("old", "late", "room", "ticket")
 
 
 class HttpWorkerCalls(WorkerCalls):
-    """Calls to one worker; one thread holds and one other gives orders.
+    """Calls to one worker.
+
+    One thread renews leases and another one sends orders: each has its own connection.
 
     :param address: ``ip:port`` of the worker.
     :param worker_id: id that the worker registered.
-    :param epoch: epoch of the caller's lease, the fencing token of each order.
+    :param epoch: epoch of the caller's ownership, the fencing token of each call.
     """
 
     def __init__(self, address: str, worker_id: str, epoch: int) -> None:
-        self._holds = PlatformConnection(address, timeout_s=ORDER_TIMEOUT_S)
-        self._orders = PlatformConnection(address, timeout_s=ORDER_TIMEOUT_S)
+        self._renewal_connection = PlatformConnection(
+            address, timeout_s=ORDER_TIMEOUT_S
+        )
+        self._order_connection = PlatformConnection(address, timeout_s=ORDER_TIMEOUT_S)
         self._epoch = epoch
         self._headers = {
             "Content-Type": "application/json",
@@ -57,20 +61,22 @@
         if deadline_ms is not None:
             body["deadline-ms"] = deadline_ms
         try:
-            reply = self._holds.call(
+            reply = self._renewal_connection.call(
                 Method.POST,
                 "/api/hold",
                 body=msgspec.json.encode(body),
                 headers=self._headers,
-                timeout_s=wait_ms / 1000 + HOLD_MARGIN_S,
+                timeout_s=wait_ms / 1000 + RENEWAL_MARGIN_S,
             )
         except PlatformError as error:
             raise WorkerCallError(str(error), may_have_run=True) from error
-        if reply.status == STATUS_OTHER_INSTANCE:
-            raise WorkerReplacedError(f"{reply.call}: another worker answered")
+        if reply.status == STATUS_MISDIRECTED_REQUEST:
+            raise WorkerReplacedError(f"{reply.call}: response of another worker")
         if reply.status == STATUS_CONFLICT:
-            raise StaleEpochError(f"{reply.call}: epoch {self._epoch} is too old")
-        return _decode_hold(reply)
+            raise StaleEpochError(
+                f"{reply.call}: epoch {self._epoch} is superseded by a higher one"
+            )
+        return _decode_renewal(reply)
 
     def start(self, order: StartOrder) -> OrderReply:
         body = {
@@ -100,12 +106,12 @@
         return self._order("/api/pace", body)
 
     def close(self) -> None:
-        self._holds.close()
-        self._orders.close()
+        self._renewal_connection.close()
+        self._order_connection.close()
 
     def _order(self, path: str, body: dict[str, object]) -> OrderReply:
         try:
-            reply = self._orders.call(
+            reply = self._order_connection.call(
                 Method.POST,
                 path,
                 body=msgspec.json.encode(body),
@@ -119,14 +125,14 @@
 
 
 def _decode_order(reply: Reply) -> OrderReply:
-    if reply.status == STATUS_OTHER_INSTANCE:
+    if reply.status == STATUS_MISDIRECTED_REQUEST:
         return OrderReply(OrderStatus.REPLACED)
     try:
         body = msgspec.json.decode(reply.body)
         reason = str(body.get("reason", ""))
         clock_ms = int(body.get("clock-ms", 0))
     except (msgspec.DecodeError, AttributeError, ValueError) as error:
-        return OrderReply(OrderStatus.UNKNOWN, f"answer not understood: {error}")
+        return OrderReply(OrderStatus.UNKNOWN, f"malformed response: {error}")
     if reply.status == STATUS_OK:
         return OrderReply(OrderStatus.DONE, "", clock_ms)
     if reason == "fence":
@@ -136,10 +142,10 @@
     return OrderReply(OrderStatus.REJECTED, f"status {reply.status}", clock_ms)
 
 
-def _decode_hold(reply: Reply) -> HoldReply:
+def _decode_renewal(reply: Reply) -> HoldReply:
     try:
         if reply.status != STATUS_OK:
-            raise ValueError(f"status {reply.status}")
+            raise ValueError(f"expected status 200, got {reply.status}")
         body = msgspec.json.decode(reply.body)
         return HoldReply(
             clock_ms=int(body["clock-ms"]),
@@ -148,5 +154,5 @@
             finished=tuple(FinishedRun(*row[:5]) for row in body["finished"]),
         )
     except (msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
-        message = f"{reply.call}: answer not understood: {error}"
+        message = f"{reply.call}: malformed response: {error}"
         raise WorkerCallError(message, may_have_run=True) from error
--- a/src/sycamorecroft/upkeep/__init__.py
+++ b/src/sycamorecroft/upkeep/__init__.py
@@ -1,1 +1,1 @@
-"""Upkeep of machines in waves, and moves between pools."""
+"""Carries out maintenance of hosts in waves and sends orders to hosts."""
--- a/src/sycamorecroft/upkeep/controller.py
+++ b/src/sycamorecroft/upkeep/controller.py
@@ -1,4 +1,4 @@
-"""Carries out waves of upkeep on the machines of all pools."""
+"""Drains hosts and starts their upkeep, wave by wave, over all pools."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
@@ -8,125 +8,127 @@
 from sycamorecroft.clock import Clock
 from sycamorecroft.errors import StoreConflictError
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot, WorkerMarks
-from sycamorecroft.upkeep.ledger import StoredWave, WaveLedger, WaveProgress
-from sycamorecroft.upkeep.machines import (
-    Machine,
-    MachineCalls,
-    MachineOrderStatus,
-    MachineState,
-)
+from sycamorecroft.upkeep.fleet_store import FleetStore, StoredWave, WaveProgress
+from sycamorecroft.upkeep.hosts import Host, HostCalls, HostOrderStatus, HostState
 from sycamorecroft.upkeep.order_sender import ORDERS_PER_CLAIM_COUNT, OrderSender
-from sycamorecroft.upkeep.planning import DueMachine, PoolUpkeep, machines_to_empty
+from sycamorecroft.upkeep.planning import DueHost, PoolUpkeep, select_hosts_to_drain
 from sycamorecroft.upkeep.waves import Wave
 
 _log = structlog.get_logger(__name__)
 
-# A machine whose tasks don't end is taken after this time all the same.
-EMPTYING_LIMIT_S = 8.0
-# A machine that isn't listed for this long has left.
-GONE_S = 5.0
+# Upkeep starts after this time even if the worker still runs tasks, unless they are
+# long-running.
+DRAIN_TIMEOUT_S = 8.0
+# A host that has been missing from the host list for this long counts as removed.
+UNLISTED_TIMEOUT_S = 5.0
 
 
 class UpkeepSettings(NamedTuple):
-    """Times of upkeep; ``lease_ms`` must pass between orders of two hosts."""
+    """Settings of the upkeep controller.
+
+    ``upkeep_s``: duration of the upkeep of one host. ``lease_ms``: time that must pass
+    between orders of two entry hosts for one host.
+    """
 
     upkeep_s: float
     lease_ms: int
 
 
 class Pool(NamedTuple):
-    """A pool with its load; ``snapshot`` is ``None`` for a standby pool."""
+    """A pool and its load; ``snapshot`` is ``None`` for a standby pool."""
 
     name: str
     snapshot: PoolSnapshot | None
 
 
 class UpkeepController:
-    """Decides and orders upkeep. Used by one thread."""
+    """Plans and orders the upkeep of hosts. Not thread-safe."""
 
     def __init__(
         self,
-        ledger: WaveLedger,
+        fleet_store: FleetStore,
         sender: OrderSender,
-        calls: MachineCalls,
+        calls: HostCalls,
         clock: Clock,
         settings: UpkeepSettings,
         report: Callable[[int, bool], None],
     ) -> None:
         """
-        :param report: tells the operator whether a wave is complete.
+        :param report: reports to the operator whether a wave is complete, given the
+            number of the wave.
         """
-        self._ledger = ledger
+        self._fleet_store = fleet_store
         self._sender = sender
         self._calls = calls
         self._clock = clock
         self._settings = settings
         self._report = report
-        self._emptying_s: dict[str, float] = {}
+        self._draining_s: dict[str, float] = {}
         self._ordered_s: dict[str, float] = {}
-        self._listed_s: dict[str, float] = {}
-        self._due: frozenset[str] = frozenset()
-        self._reported: set[str] = set()
-        self._complete: set[str] = set()
+        self._last_listed_s: dict[str, float] = {}
+        self._due_hosts: frozenset[str] = frozenset()
+        self._reported_waves: set[str] = set()
+        self._completed_waves: set[str] = set()
 
     def step(
         self, waves: Iterable[Wave], pools: Iterable[Pool]
     ) -> dict[str, WorkerMarks]:
-        """Does what is due now.
+        """Drains the next hosts of each open wave and starts upkeep of drained ones.
 
+        :param waves: waves that the operator has requested.
         :param pools: pools whose load is known, and standby pools.
-        :returns: workers that open waves concern, by pool.
-        :raises PlatformError: when the store or the list of machines can't be read.
+        :returns: marks of the workers whose hosts belong to open waves, by pool.
+        :raises PlatformError: when the store or the host list can't be read.
         """
-        open_waves = [w for w in waves if str(w.number) not in self._complete]
+        open_waves = [w for w in waves if str(w.number) not in self._completed_waves]
         pools = list(pools)
         marks: dict[str, WorkerMarks] = {}
         if not open_waves or not pools:
             return marks
-        stored = self._ledger.read_waves()
-        self._ledger.read_orders()
-        machines = {machine.name: machine for machine in self._calls.list_machines()}
+        stored = self._fleet_store.read_waves()
+        self._fleet_store.read_orders()
+        hosts = {host.name: host for host in self._calls.list_hosts()}
         now_s = self._clock.monotonic_s()
-        for name in machines:
-            self._listed_s[name] = now_s
+        for name in hosts:
+            self._last_listed_s[name] = now_s
         due: set[str] = set()
         for wave in open_waves:
-            progress = self._step_wave(wave, stored, pools, machines)
-            self._mark(wave, progress, pools, machines, marks)
-            due.update(self._open_machines(wave, progress))
-        self._due = frozenset(due - self._ordered_s.keys())
+            progress = self._step_wave(wave, stored, pools, hosts)
+            self._add_marks(wave, progress, pools, hosts, marks)
+            due.update(self._pending_hosts(wave, progress))
+        self._due_hosts = frozenset(due - self._ordered_s.keys())
         return marks
 
     @property
-    def busy_machines(self) -> frozenset[str]:
-        """Machines that upkeep is about to take."""
-        return frozenset(self._emptying_s)
+    def upkeep_hosts(self) -> frozenset[str]:
+        """Names of hosts that are being drained for upkeep or in upkeep."""
+        return frozenset(self._draining_s)
 
     @property
-    def due_machines(self) -> frozenset[str]:
-        """Machines whose upkeep has not begun."""
-        return self._due
+    def due_hosts(self) -> frozenset[str]:
+        """Names of hosts whose upkeep is due and has not started."""
+        return self._due_hosts
 
-    def _mark(
+    def _add_marks(
         self,
         wave: Wave,
         progress: WaveProgress,
         pools: list[Pool],
-        machines: dict[str, Machine],
+        hosts: dict[str, Host],
         marks: dict[str, WorkerMarks],
     ) -> None:
-        open_machines = [
-            machines[name]
-            for name in self._open_machines(wave, progress)
-            if name in machines
+        pending_hosts = [
+            hosts[name] for name in self._pending_hosts(wave, progress) if name in hosts
         ]
         for pool in pools:
-            mine = [machine for machine in open_machines if machine.pool == pool.name]
-            known = marks.get(pool.name, WorkerMarks())
-            emptied = {m.worker_id for m in mine if m.name in self._emptying_s}
+            pool_hosts = [host for host in pending_hosts if host.pool == pool.name]
+            previous = marks.get(pool.name, WorkerMarks())
+            draining = {
+                host.worker_id for host in pool_hosts if host.name in self._draining_s
+            }
             marks[pool.name] = WorkerMarks(
-                known.reserved | emptied,
-                known.due | {machine.worker_id for machine in mine},
+                previous.reserved | draining,
+                previous.due | {host.worker_id for host in pool_hosts},
             )
 
     def _step_wave(
@@ -134,76 +136,84 @@
         wave: Wave,
         stored: dict[str, StoredWave],
         pools: list[Pool],
-        machines: dict[str, Machine],
+        hosts: dict[str, Host],
     ) -> WaveProgress:
-        key = str(wave.number)
-        state = stored.get(key) or StoredWave(
-            WaveProgress(self._ledger.store_time_ms), None
+        wave_key = str(wave.number)
+        state = stored.get(wave_key) or StoredWave(
+            WaveProgress(self._fleet_store.store_time_ms), None
         )
         try:
             if state.version is None:
-                state = self._ledger.write_wave(key, state, state.progress)
-            state = self._record_done(key, wave, state, machines)
-            if not self._open_machines(wave, state.progress):
+                state = self._fleet_store.write_wave(wave_key, state, state.progress)
+            state = self._record_completed(wave_key, wave, state, hosts)
+            if not self._pending_hosts(wave, state.progress):
                 self._complete_wave(wave)
                 return state.progress
-            if key not in self._reported:
+            if wave_key not in self._reported_waves:
                 self._report(wave.number, False)
-                self._reported.add(key)
+                self._reported_waves.add(wave_key)
             ready: list[str] = []
             for pool in pools:
-                ready += self._step_pool(wave, state, pool, machines)
-            state = self._begin(key, wave, state, ready)
+                ready += self._step_pool(wave, state, pool, hosts)
+            state = self._start_upkeep(wave_key, wave, state, ready)
         except StoreConflictError:
-            _log.debug("wave_changed_by_other", wave=key)
+            _log.debug("wave_update_conflict", wave=wave_key)
         return state.progress
 
-    def _open_machines(self, wave: Wave, progress: WaveProgress) -> list[str]:
-        return [name for name in wave.machines if name not in progress.done]
+    def _pending_hosts(self, wave: Wave, progress: WaveProgress) -> list[str]:
+        return [name for name in wave.hosts if name not in progress.completed]
 
-    def _record_done(
+    def _record_completed(
         self,
-        key: str,
+        wave_key: str,
         wave: Wave,
         state: StoredWave,
-        machines: dict[str, Machine],
+        hosts: dict[str, Host],
     ) -> StoredWave:
-        """Gives back the places of machines whose upkeep is over."""
-        finished = [
+        """Records hosts whose upkeep has completed, so that others may start."""
+        completed = [
             name
-            for name in self._open_machines(wave, state.progress)
-            if self._is_finished(name, machines.get(name))
+            for name in self._pending_hosts(wave, state.progress)
+            if self._has_completed(name, hosts.get(name))
         ]
-        if not finished:
+        if not completed:
             return state
         progress = state.progress._replace(
-            out=tuple(name for name in state.progress.out if name not in finished),
-            done=(*state.progress.done, *finished),
+            in_upkeep=tuple(
+                name for name in state.progress.in_upkeep if name not in completed
+            ),
+            completed=(*state.progress.completed, *completed),
         )
-        state = self._ledger.write_wave(key, state, progress)
-        for name in finished:
-            self._emptying_s.pop(name, None)
+        state = self._fleet_store.write_wave(wave_key, state, progress)
+        for name in completed:
+            self._draining_s.pop(name, None)
             self._ordered_s.pop(name, None)
         _log.info(
-            "upkeep_done", wave=key, machines=finished, done_count=len(progress.done)
+            "upkeep_done",
+            wave=wave_key,
+            machines=completed,
+            done_count=len(progress.completed),
         )
         return state
 
     def _complete_wave(self, wave: Wave) -> None:
-        """Tells the operator; done again by a successor, which can't know of it."""
+        """Reports the wave as complete.
+
+        The next fleet controller repeats the report, as it can't know that it was made.
+        """
         self._report(wave.number, True)
-        self._complete.add(str(wave.number))
-        _log.info("wave_complete", wave=wave.number, machines_count=len(wave.machines))
+        self._completed_waves.add(str(wave.number))
+        _log.info("wave_complete", wave=wave.number, machines_count=len(wave.hosts))
 
-    def _is_finished(self, name: str, machine: Machine | None) -> bool:
+    def _has_completed(self, name: str, host: Host | None) -> bool:
         now_s = self._clock.monotonic_s()
-        if machine is None:
-            first_s = self._listed_s.setdefault(name, now_s)
-            return now_s - first_s > GONE_S
+        if host is None:
+            last_listed_s = self._last_listed_s.setdefault(name, now_s)
+            return now_s - last_listed_s > UNLISTED_TIMEOUT_S
         ordered_s = self._ordered_s.get(name)
         return (
             ordered_s is not None
-            and machine.state is MachineState.UP
+            and host.state is HostState.UP
             and now_s - ordered_s > self._settings.upkeep_s
         )
 
@@ -212,94 +222,99 @@
         wave: Wave,
         state: StoredWave,
         pool: Pool,
-        machines: dict[str, Machine],
+        hosts: dict[str, Host],
     ) -> list[str]:
-        """Chooses machines to empty.
+        """Selects hosts of the pool to drain.
 
-        :returns: machines of the pool whose upkeep may begin.
+        :returns: names of the hosts whose upkeep may start.
         """
-        open_machines = [
-            machines[name]
-            for name in self._open_machines(wave, state.progress)
-            if name in machines and machines[name].pool == pool.name
+        pending_hosts = [
+            hosts[name]
+            for name in self._pending_hosts(wave, state.progress)
+            if name in hosts and hosts[name].pool == pool.name
         ]
-        self._choose(wave, state, pool, open_machines)
+        self._select_hosts(wave, state, pool, pending_hosts)
         return [
-            machine.name
-            for machine in open_machines
-            if machine.state is MachineState.UP
-            and machine.name not in self._ordered_s
-            and self._is_empty(machine, pool)
-            and self._ledger.may_order(machine.name, self._settings.lease_ms)
+            host.name
+            for host in pending_hosts
+            if host.state is HostState.UP
+            and host.name not in self._ordered_s
+            and self._is_drained(host, pool)
+            and self._fleet_store.may_order(host.name, self._settings.lease_ms)
         ]
 
-    def _choose(
-        self, wave: Wave, state: StoredWave, pool: Pool, machines: list[Machine]
+    def _select_hosts(
+        self, wave: Wave, state: StoredWave, pool: Pool, hosts: list[Host]
     ) -> None:
         now_s = self._clock.monotonic_s()
         workers = {}
         if pool.snapshot is not None:
             workers = {worker.worker_id: worker for worker in pool.snapshot.workers}
-        for machine in machines:
-            # A former owner has claimed its place and may have begun its upkeep.
-            if machine.name in state.progress.out:
-                self._emptying_s.setdefault(machine.name, now_s)
-        out = [m for m in machines if m.name in self._emptying_s]
+        for host in hosts:
+            # A previous fleet controller claimed the order and may have sent it.
+            if host.name in state.progress.in_upkeep:
+                self._draining_s.setdefault(host.name, now_s)
+        unavailable = [host for host in hosts if host.name in self._draining_s]
         candidates = tuple(
-            DueMachine(machine, workers.get(machine.worker_id))
-            for machine in machines
-            if machine.name not in self._emptying_s and machine.state is MachineState.UP
+            DueHost(host, workers.get(host.worker_id))
+            for host in hosts
+            if host.name not in self._draining_s and host.state is HostState.UP
         )
-        elapsed_s = (self._ledger.store_time_ms - state.progress.begun_ms) / 1000
+        elapsed_s = (self._fleet_store.store_time_ms - state.progress.started_ms) / 1000
         upkeep = PoolUpkeep(
             candidates,
-            len(out),
+            len(unavailable),
             wave.duration_s - elapsed_s,
             self._settings.upkeep_s,
         )
-        room_count = wave.concurrent_limit_count - self._emptied_count(wave, state)
-        for name in machines_to_empty(upkeep, pool.snapshot)[: max(0, room_count)]:
-            self._emptying_s[name] = now_s
+        available_count = wave.concurrent_limit_count - self._claimed_count(wave, state)
+        for name in select_hosts_to_drain(upkeep, pool.snapshot)[
+            : max(0, available_count)
+        ]:
+            self._draining_s[name] = now_s
             _log.info("machine_emptied", machine=name, wave=wave.number, pool=pool.name)
 
-    def _emptied_count(self, wave: Wave, state: StoredWave) -> int:
-        """Counts machines that hold or wait for a place; others go on working."""
-        open_machines = self._open_machines(wave, state.progress)
-        places = self._emptying_s.keys() | set(state.progress.out)
-        return sum(name in places for name in open_machines)
+    def _claimed_count(self, wave: Wave, state: StoredWave) -> int:
+        """Counts hosts that are being drained or in upkeep.
 
-    def _is_empty(self, machine: Machine, pool: Pool) -> bool:
-        since_s = self._emptying_s.get(machine.name)
-        if since_s is None:
+        They count towards the concurrency limit; the others continue to accept tasks.
+        """
+        pending_hosts = self._pending_hosts(wave, state.progress)
+        claimed = self._draining_s.keys() | set(state.progress.in_upkeep)
+        return sum(name in claimed for name in pending_hosts)
+
+    def _is_drained(self, host: Host, pool: Pool) -> bool:
+        started_s = self._draining_s.get(host.name)
+        if started_s is None:
             return False
         if pool.snapshot is None:
             return True
         now_s = self._clock.monotonic_s()
         for worker in pool.snapshot.workers:
-            if worker.worker_id != machine.worker_id:
+            if worker.worker_id != host.worker_id:
                 continue
             if worker.is_emptied:
                 return True
-            is_overdue = now_s - since_s > EMPTYING_LIMIT_S
+            is_overdue = now_s - started_s > DRAIN_TIMEOUT_S
             return is_overdue and not worker.long_running_count
-        # The worker isn't listed yet or any more.
-        return now_s - since_s > EMPTYING_LIMIT_S
+        # The worker is not registered yet or no longer registered.
+        return now_s - started_s > DRAIN_TIMEOUT_S
 
-    def _begin(
-        self, key: str, wave: Wave, state: StoredWave, ready: list[str]
+    def _start_upkeep(
+        self, wave_key: str, wave: Wave, state: StoredWave, ready: list[str]
     ) -> StoredWave:
-        """Begins the upkeep of machines that are ready, as far as there are places."""
-        out = state.progress.out
-        retried = [name for name in ready if name in out]
-        new = [name for name in ready if name not in out]
-        room_count = max(0, wave.concurrent_limit_count - len(out))
-        chosen = (retried + new[:room_count])[:ORDERS_PER_CLAIM_COUNT]
-        if not chosen:
+        """Starts upkeep of ready hosts within the concurrency limit of the wave."""
+        in_upkeep = state.progress.in_upkeep
+        retried = [name for name in ready if name in in_upkeep]
+        new = [name for name in ready if name not in in_upkeep]
+        available_count = max(0, wave.concurrent_limit_count - len(in_upkeep))
+        selected = (retried + new[:available_count])[:ORDERS_PER_CLAIM_COUNT]
+        if not selected:
             return state
-        token, statuses = self._sender.carry_out(
-            chosen,
-            lambda name, token: self._calls.begin_upkeep(name, wave.number, token),
-            key,
+        token, statuses = self._sender.send_orders(
+            selected,
+            lambda name, token: self._calls.start_upkeep(name, wave.number, token),
+            wave_key,
             state,
         )
         now_s = self._clock.monotonic_s()
@@ -311,7 +326,9 @@
                 token=token.number,
                 status=status,
             )
-            if status is MachineOrderStatus.DONE:
+            if status is HostOrderStatus.DONE:
                 self._ordered_s[name] = now_s
-        progress = state.progress._replace(out=tuple(sorted({*out, *chosen})))
+        progress = state.progress._replace(
+            in_upkeep=tuple(sorted({*in_upkeep, *selected}))
+        )
         return StoredWave(progress, token.number)
--- a/src/sycamorecroft/upkeep/planning.py
+++ b/src/sycamorecroft/upkeep/planning.py
@@ -1,78 +1,86 @@
-"""Choice of the machines of a pool whose upkeep comes next."""
+"""Selects the hosts of a pool that are drained for upkeep next."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot, WorkerSnapshot
-from sycamorecroft.upkeep.machines import Machine
+from sycamorecroft.upkeep.hosts import Host
 
-# Time to empty a machine beside the upkeep itself.
-EMPTYING_S = 3.0
-# Share of the remaining capacity that work may take while machines are away.
+# Estimated time to drain a host, added to the duration of its upkeep.
+DRAIN_TIME_S = 3.0
+# Maximum load of the remaining capacity while hosts are in upkeep.
 LOAD_LIMIT_RATIO = 0.8
 
 
-class DueMachine(NamedTuple):
-    """A machine that is up and due for upkeep; ``worker`` is ``None`` if it's off."""
+class DueHost(NamedTuple):
+    """A host that is up and due for upkeep; ``worker`` is ``None`` if it has none."""
 
-    machine: Machine
+    host: Host
     worker: WorkerSnapshot | None
 
 
 class PoolUpkeep(NamedTuple):
-    """What upkeep needs to know of a pool.
+    """State of a pool's upkeep in one wave.
 
-    ``due``: machines that are due and not yet emptied. ``out_count``: machines being
-    emptied or in upkeep. ``remaining_s``: time left until the wave must be complete.
+    ``due``: hosts that are due and not selected yet. ``unavailable_count``: hosts that
+    are being drained or in upkeep. ``remaining_s``: time until the wave must be
+    complete. ``upkeep_s``: duration of the upkeep of one host.
     """
 
-    due: tuple[DueMachine, ...]
-    out_count: int
+    due: tuple[DueHost, ...]
+    unavailable_count: int
     remaining_s: float
     upkeep_s: float
 
 
-def machines_to_empty(pool: PoolUpkeep, snapshot: PoolSnapshot | None) -> list[str]:
-    """Chooses machines to empty now.
+def select_hosts_to_drain(pool: PoolUpkeep, snapshot: PoolSnapshot | None) -> list[str]:
+    """Selects hosts to drain now.
 
-    As many go as the pool's load allows; more only where the wave would end too late.
+    As many hosts are selected as the load of the pool allows, and more only where the
+    wave would miss its deadline otherwise. Hosts without a worker cost no
+    capacity and are always selected.
 
-    :returns: names of machines, the ones that are easiest to empty first.
+    :param snapshot: load of the pool, ``None`` for a standby pool.
+    :returns: names of the hosts, those with the least work first.
     """
-    off = [due.machine.name for due in pool.due if due.worker is None]
-    on = [due for due in pool.due if due.worker is not None]
+    idle = [due.host.name for due in pool.due if due.worker is None]
+    active = [due for due in pool.due if due.worker is not None]
     if snapshot is None:
-        return off
-    count = max(_spare_count(snapshot, on), _needed_count(pool, len(on)))
-    on.sort(key=_cost_to_empty)
-    return off + [due.machine.name for due in on[: max(0, count - pool.out_count)]]
+        return idle
+    count = max(_spare_count(snapshot, active), _required_count(pool, len(active)))
+    active.sort(key=_drain_cost)
+    return idle + [
+        due.host.name for due in active[: max(0, count - pool.unavailable_count)]
+    ]
 
 
-def _spare_count(snapshot: PoolSnapshot, on: Sequence[DueMachine]) -> int:
-    """Counts the machines that the load leaves unused."""
+def _spare_count(snapshot: PoolSnapshot, active: Sequence[DueHost]) -> int:
+    """Counts the hosts that the present load does not need."""
     usable = [worker for worker in snapshot.workers if worker.is_in_contact]
-    if not usable or not on:
+    if not usable or not active:
         return 0
-    demand = snapshot.waiting.cpu_millicores + sum(
+    demand_millicores = snapshot.waiting.cpu_millicores + sum(
         worker.used.cpu_millicores for worker in usable
     )
-    capacity = sum(worker.capacity.cpu_millicores for worker in usable)
-    each = capacity / len(usable)
-    if not each:
+    capacity_millicores = sum(worker.capacity.cpu_millicores for worker in usable)
+    host_millicores = capacity_millicores / len(usable)
+    if not host_millicores:
         return 0
-    return int((capacity - demand / LOAD_LIMIT_RATIO) / each)
+    return int(
+        (capacity_millicores - demand_millicores / LOAD_LIMIT_RATIO) / host_millicores
+    )
 
 
-def _needed_count(pool: PoolUpkeep, due_count: int) -> int:
-    """Counts the machines that must be out at once to end in time."""
-    each_s = pool.upkeep_s + EMPTYING_S
-    rounds_count = max(1, int(pool.remaining_s / each_s))
-    if rounds_count > due_count + pool.out_count:
+def _required_count(pool: PoolUpkeep, due_count: int) -> int:
+    """Counts the hosts that must be unavailable at once to meet the deadline."""
+    host_s = pool.upkeep_s + DRAIN_TIME_S
+    rounds_count = max(1, int(pool.remaining_s / host_s))
+    if rounds_count > due_count + pool.unavailable_count:
         return 0
-    return -(-(due_count + pool.out_count) // rounds_count)
+    return -(-(due_count + pool.unavailable_count) // rounds_count)
 
 
-def _cost_to_empty(due: DueMachine) -> tuple[int, int]:
+def _drain_cost(due: DueHost) -> tuple[int, int]:
     worker = due.worker
     if worker is None:
         return (0, 0)
--- a/src/sycamorecroft/upkeep/waves.py
+++ b/src/sycamorecroft/upkeep/waves.py
@@ -1,12 +1,15 @@
-"""Waves of upkeep that the operator asks for."""
+"""Waves of upkeep that the operator requests."""
 
 from typing import NamedTuple
 
 
 class Wave(NamedTuple):
-    """Machines that are due for upkeep within ``duration_s`` seconds."""
+    """Hosts whose upkeep must complete within ``duration_s`` seconds.
+
+    ``concurrent_limit_count``: number of hosts that may be in upkeep at the same time.
+    """
 
     number: int
-    machines: tuple[str, ...]
+    hosts: tuple[str, ...]
     duration_s: float
     concurrent_limit_count: int
