--- a/properties/test_service_runs.py
+++ b/properties/test_service_runs.py
@@ -16,7 +16,7 @@
     queue_of,
     step_of,
 )
-from sycamorecroft.scheduling.calls import RunEnd
+from sycamorecroft.scheduling.calls import RunOutcome
 from sycamorecroft.scheduling.rows import ProgressRow, decode_row
 
 STEPS_COUNT = 150
@@ -69,7 +69,7 @@
             self.site.tables.apply_delayed()
         elif draw < 0.55:
             worker.running.clear()
-            worker.born_ms += 1
+            worker.incarnation_ms += 1
             worker.acknowledged = 0
         elif draw < 0.58 and self.jobs_count:
             self.site.cancel(f"j{self.random.randrange(self.jobs_count)}")
@@ -87,7 +87,7 @@
             for task in list(worker.running):
                 if self.random.random() < 0.2:
                     is_failed = self.random.random() < 0.1
-                    worker.end(task, RunEnd.FAILED if is_failed else RunEnd.DONE)
+                    worker.end(task, RunOutcome.FAILED if is_failed else RunOutcome.DONE)
 
     def check(self) -> None:
         running = [
--- a/src/sycamorecroft/capacity/controller.py
+++ b/src/sycamorecroft/capacity/controller.py
@@ -135,7 +135,7 @@
         if state is None:
             state = self._pools[pool] = self._begin(pool)
         state.history.add(snapshot)
-        present = {worker.machine for worker in snapshot.workers}
+        present = {worker.host for worker in snapshot.workers}
         now_s = self._clock.monotonic_s()
         for machine, ordered_s in list(state.incoming_s.items()):
             if machine in present or now_s - ordered_s > INCOMING_LIMIT_S:
@@ -237,10 +237,10 @@
     ) -> list[Machine]:
         """Machines whose workers run nothing and were chosen to be given away."""
         workers = {
-            (pool, worker.machine): worker.worker_id
+            (pool, worker.host): worker.worker_id
             for pool, snapshot in snapshots.items()
             for worker in snapshot.workers
-            if worker.is_emptied and worker.worker_id in self._pools[pool].leaving
+            if worker.is_drained and worker.worker_id in self._pools[pool].leaving
         }
         return [
             machine
--- a/src/sycamorecroft/capacity/marks.py
+++ b/src/sycamorecroft/capacity/marks.py
@@ -5,7 +5,7 @@
 import structlog
 
 from sycamorecroft.errors import RecordError
-from sycamorecroft.scheduling.pool_rows import MACHINES_CLAIM, MARKS_TABLE
+from sycamorecroft.scheduling.pool_rows import FLEET_CONTROLLER_CLAIM, MARKS_TABLE
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot, WorkerMarks
 from sycamorecroft.scheduling.rows import decode_row, encode_row
 from sycamorecroft.store.interfaces import (
@@ -40,7 +40,7 @@
         :raises PlatformError: when the rows can't be read.
         """
         scan = self._tables.scan_part(
-            MARKS_TABLE, MACHINES_CLAIM, purpose=StorePurpose.POOLS
+            MARKS_TABLE, FLEET_CONTROLLER_CLAIM, purpose=StorePurpose.POOLS
         )
         for row in scan.rows:
             try:
@@ -66,7 +66,7 @@
         if not changed:
             return
         puts = [
-            Put(MARKS_TABLE, service, encode_row(marks), MACHINES_CLAIM)
+            Put(MARKS_TABLE, service, encode_row(marks), FLEET_CONTROLLER_CLAIM)
             for service, marks in changed.items()
         ]
         version = self._tables.transact(
--- a/src/sycamorecroft/capacity/planning.py
+++ b/src/sycamorecroft/capacity/planning.py
@@ -218,13 +218,13 @@
         if _is_usable(worker, busy_machines)
         and worker.is_in_contact
         and not worker.long_running_count
-        and worker.machine
+        and worker.host
     ]
     candidates.sort(
         key=lambda worker: (
             worker.worker_id not in leaving,
             worker.used.cpu_millicores,
-            worker.machine not in due_machines,
+            worker.host not in due_machines,
             worker.worker_id,
         )
     )
@@ -246,8 +246,8 @@
 
 def _is_usable(worker: WorkerSnapshot, busy_machines: frozenset[str]) -> bool:
     """Whether the worker takes tasks, or would if it weren't to be given away."""
-    is_staying = not worker.is_draining and worker.machine not in busy_machines
-    return worker.is_expected and is_staying
+    is_staying = not worker.is_draining and worker.host not in busy_machines
+    return worker.is_presumed_reachable and is_staying
 
 
 def _capacity_of_one(snapshot: PoolSnapshot) -> float:
--- a/src/sycamorecroft/capacity/tests/test_marks.py
+++ b/src/sycamorecroft/capacity/tests/test_marks.py
@@ -7,7 +7,7 @@
 from sycamorecroft.errors import StoreConflictError
 from sycamorecroft.ownership.rows import OWNERS_TABLE, ROW_KEY
 from sycamorecroft.scheduling.model import Resources
-from sycamorecroft.scheduling.pool_rows import MACHINES_CLAIM
+from sycamorecroft.scheduling.pool_rows import FLEET_CONTROLLER_CLAIM
 from sycamorecroft.scheduling.pool_snapshot import (
     PoolSnapshot,
     WorkerMarks,
@@ -19,9 +19,9 @@
 
 
 def _claim(tables):
-    put = Put(OWNERS_TABLE, ROW_KEY, b"{}", MACHINES_CLAIM)
+    put = Put(OWNERS_TABLE, ROW_KEY, b"{}", FLEET_CONTROLLER_CLAIM)
     version = tables.transact((), (put,), purpose=StorePurpose.LEASES)
-    return Check(OWNERS_TABLE, ROW_KEY, version, MACHINES_CLAIM)
+    return Check(OWNERS_TABLE, ROW_KEY, version, FLEET_CONTROLLER_CLAIM)
 
 
 def _snapshot(marks_version):
@@ -32,7 +32,7 @@
 
 
 def _is_emptied(book, marks_version):
-    return book.confirmed(_snapshot(marks_version)).workers[0].is_emptied
+    return book.confirmed(_snapshot(marks_version)).workers[0].is_drained
 
 
 def test_worker_counts_as_emptied_only_after_its_mark_was_seen():
--- a/src/sycamorecroft/capacity/tests/test_planning.py
+++ b/src/sycamorecroft/capacity/tests/test_planning.py
@@ -86,5 +86,5 @@
 def test_new_owner_does_not_take_all_machines_before_it_has_heard_its_workers():
     """Guards against a pool that grows since its workers weren't asked yet."""
     snapshot = _snapshot(0.0, 8, 4 * EACH, silent=8)
-    workers = tuple(w._replace(is_expected=True) for w in snapshot.workers)
+    workers = tuple(w._replace(is_presumed_reachable=True) for w in snapshot.workers)
     assert _plan([snapshot._replace(workers=workers)]).grow_count == 0
--- a/src/sycamorecroft/node/advice_link.py
+++ b/src/sycamorecroft/node/advice_link.py
@@ -8,13 +8,13 @@
 import structlog
 
 from sycamorecroft.errors import PlatformError
-from sycamorecroft.scheduling.advice import AdviceCalls, AdviceResult, AskAdvice
+from sycamorecroft.scheduling.advice import AdviceCalls, AdviceResult, AdviceRequest
 
 _log = structlog.get_logger(__name__)
 
 
 class _Question(NamedTuple):
-    question: AskAdvice
+    question: AdviceRequest
     tell: Callable[[AdviceResult], object]
 
 
@@ -33,7 +33,7 @@
         if self._calls is not None:
             threading.Thread(target=self._run, name="advice", daemon=True).start()
 
-    def ask(self, question: AskAdvice, tell: Callable[[AdviceResult], object]) -> None:
+    def ask(self, question: AdviceRequest, tell: Callable[[AdviceResult], object]) -> None:
         """Queues a question.
 
         :param tell: takes the answer.
--- a/src/sycamorecroft/node/load_publisher.py
+++ b/src/sycamorecroft/node/load_publisher.py
@@ -108,7 +108,7 @@
 
 
 def _emptied(snapshot: PoolSnapshot) -> frozenset[str]:
-    return frozenset(w.worker_id for w in snapshot.workers if w.is_emptied)
+    return frozenset(w.worker_id for w in snapshot.workers if w.is_drained)
 
 
 def _demand_millicores(snapshot: PoolSnapshot) -> int:
--- a/src/sycamorecroft/node/machine_control.py
+++ b/src/sycamorecroft/node/machine_control.py
@@ -18,10 +18,10 @@
 from sycamorecroft.scheduling.model import Resources, Service
 from sycamorecroft.scheduling.pool_rows import (
     LOADS_TABLE,
-    MACHINES_CLAIM,
-    SIZES_KEY,
+    FLEET_CONTROLLER_CLAIM,
+    HOST_SIZES_KEY,
     LoadRow,
-    MachineSizesRow,
+    HostSizesRow,
 )
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot, WorkerMarks
 from sycamorecroft.scheduling.rows import decode_row, encode_row
@@ -221,8 +221,8 @@
         sizes = frozenset(machine.capacity for machine in self._calls.list_machines())
         if sizes == self._sizes:
             return
-        value = encode_row(MachineSizesRow(tuple(sorted(sizes))))
-        put = Put(OWNERS_TABLE, SIZES_KEY, value, MACHINES_CLAIM)
+        value = encode_row(HostSizesRow(tuple(sorted(sizes))))
+        put = Put(OWNERS_TABLE, HOST_SIZES_KEY, value, FLEET_CONTROLLER_CLAIM)
         self._tables.transact((self._owner_check,), (put,), purpose=StorePurpose.POOLS)
         self._sizes = sizes
 
--- a/src/sycamorecroft/node/node.py
+++ b/src/sycamorecroft/node/node.py
@@ -42,9 +42,9 @@
     FleetSnapshot,
     Resources,
     Service,
-    WorkerEntry,
+    WorkerRegistration,
 )
-from sycamorecroft.scheduling.pool_rows import SIZES_KEY, MachineSizesRow
+from sycamorecroft.scheduling.pool_rows import HOST_SIZES_KEY, HostSizesRow
 from sycamorecroft.scheduling.rows import decode_row
 from sycamorecroft.scheduling.service_actor import ServiceContext
 from sycamorecroft.serving.application import JobApplication, ServingSettings
@@ -260,12 +260,12 @@
     def _apply_owner_rows(self, rows: tuple[Row, ...]) -> None:
         self.keeper.apply_owner_rows(rows)
         for row in rows:
-            if row.key == SIZES_KEY and row.value is not None:
+            if row.key == HOST_SIZES_KEY and row.value is not None:
                 self._apply_sizes(row)
 
     def _apply_sizes(self, row: Row) -> None:
         try:
-            sizes = decode_row(row.value, MachineSizesRow).sizes
+            sizes = decode_row(row.value, HostSizesRow).sizes
         except RecordError as error:
             _log.error("machine_sizes_not_understood", error=str(error))
             return
@@ -282,7 +282,7 @@
         )
 
     def _run_service(
-        self, claimed: ClaimedService, workers: tuple[WorkerEntry, ...]
+        self, claimed: ClaimedService, workers: tuple[WorkerRegistration, ...]
     ) -> OwnedService:
         context = ServiceContext(
             clock=self._clock,
@@ -290,7 +290,7 @@
             connect=partial(_connect_worker, claimed.claim.epoch),
             lease_limit_s=self._lease_limit_s,
             on_lost=self.keeper.on_lost,
-            ask_advice=self._advice.ask,
+            request_advice=self._advice.ask,
         )
         return OwnedService(
             self._tables,
@@ -303,5 +303,5 @@
         )
 
 
-def _connect_worker(epoch: int, entry: WorkerEntry) -> HttpWorkerCalls:
+def _connect_worker(epoch: int, entry: WorkerRegistration) -> HttpWorkerCalls:
     return HttpWorkerCalls(entry.address, entry.worker_id, epoch)
--- a/src/sycamorecroft/node/owned_service.py
+++ b/src/sycamorecroft/node/owned_service.py
@@ -12,8 +12,8 @@
 from sycamorecroft.ownership.committer import Committer
 from sycamorecroft.ownership.owner import ClaimedService
 from sycamorecroft.recorder import Recorder
-from sycamorecroft.scheduling.model import WorkerEntry
-from sycamorecroft.scheduling.pool_rows import MACHINES_CLAIM, MARKS_TABLE
+from sycamorecroft.scheduling.model import WorkerRegistration
+from sycamorecroft.scheduling.pool_rows import FLEET_CONTROLLER_CLAIM, MARKS_TABLE
 from sycamorecroft.scheduling.pool_snapshot import WorkerMarks
 from sycamorecroft.scheduling.rows import decode_row, jobs_table, progress_table
 from sycamorecroft.scheduling.scheduler import Scheduler, SchedulerSettings
@@ -24,7 +24,7 @@
     ServiceContext,
     StopService,
     Tick,
-    WorkersListed,
+    RegistrationsChanged,
 )
 from sycamorecroft.store.interfaces import (
     PartitionedTableService,
@@ -46,7 +46,7 @@
         self,
         tables: PartitionedTableService,
         claimed: ClaimedService,
-        workers: tuple[WorkerEntry, ...],
+        workers: tuple[WorkerRegistration, ...],
         context: ServiceContext,
         confirm,
         retention_s: float,
@@ -70,12 +70,12 @@
             claimed.claim.epoch,
         )
         marks = tables.scan_part(
-            MARKS_TABLE, MACHINES_CLAIM, purpose=StorePurpose.POOLS
+            MARKS_TABLE, FLEET_CONTROLLER_CLAIM, purpose=StorePurpose.POOLS
         )
         for message in self._marks_of(marks.rows):
             scheduler.reports.apply_marks(message.marks, message.version)
         now_s = clock.monotonic_s()
-        scheduler.reports.apply_entries(workers, now_s)
+        scheduler.reports.apply_registrations(workers, now_s)
         now_ms = int(clock.now().timestamp() * 1000)
         scheduler.load(jobs.rows, progress.rows, now_s, now_ms)
         self._publisher = LoadPublisher(tables, service, claimed.claim.epoch)
@@ -106,9 +106,9 @@
     def _apply_jobs(self, rows) -> None:
         self._tell(JobRowsChanged(rows))
 
-    def list_workers(self, entries: tuple[WorkerEntry, ...]) -> None:
+    def list_workers(self, entries: tuple[WorkerRegistration, ...]) -> None:
         """Passes on the list of the service's workers."""
-        self._tell(WorkersListed(entries))
+        self._tell(RegistrationsChanged(entries))
 
     def _apply_marks(self, rows: Iterable[Row]) -> None:
         for message in self._marks_of(rows):
--- a/src/sycamorecroft/node/service_keeper.py
+++ b/src/sycamorecroft/node/service_keeper.py
@@ -16,8 +16,8 @@
 from sycamorecroft.ownership import Ownership
 from sycamorecroft.ownership.owner import ClaimedService
 from sycamorecroft.recorder import Recorder
-from sycamorecroft.scheduling.model import FleetSnapshot, WorkerEntry
-from sycamorecroft.scheduling.pool_rows import MACHINES_CLAIM
+from sycamorecroft.scheduling.model import FleetSnapshot, WorkerRegistration
+from sycamorecroft.scheduling.pool_rows import FLEET_CONTROLLER_CLAIM
 from sycamorecroft.store.interfaces import Row
 
 _log = structlog.get_logger(__name__)
@@ -32,7 +32,7 @@
 class OwnedParts(NamedTuple):
     """Makes what runs while this host owns a service, or the machines."""
 
-    service: Callable[[ClaimedService, tuple[WorkerEntry, ...]], OwnedService]
+    service: Callable[[ClaimedService, tuple[WorkerRegistration, ...]], OwnedService]
     machines: Callable[[ClaimedService], MachineControl]
 
 
@@ -128,7 +128,7 @@
         name = claimed.claim.service
         self._stop_owned(name)
         try:
-            if name == MACHINES_CLAIM:
+            if name == FLEET_CONTROLLER_CLAIM:
                 self._machines = self._parts.machines(claimed)
                 self._machines.start()
             else:
@@ -142,7 +142,7 @@
         self._recorder.count(TAKEOVERS, change="claimed")
 
     def _stop_owned(self, name: str) -> None:
-        if name == MACHINES_CLAIM:
+        if name == FLEET_CONTROLLER_CLAIM:
             if self._machines is not None:
                 self._machines.stop()
             self._machines = None
@@ -181,4 +181,4 @@
 def _names_to_claim(fleet: FleetSnapshot) -> list[str]:
     """Services that have workers to schedule, and the machines."""
     names = [service.name for service in fleet.services if not service.is_standby]
-    return [*names, MACHINES_CLAIM]
+    return [*names, FLEET_CONTROLLER_CLAIM]
--- a/src/sycamorecroft/node/worker_directory.py
+++ b/src/sycamorecroft/node/worker_directory.py
@@ -8,7 +8,7 @@
 from sycamorecroft.errors import RecordError, StoreHistoryLostError
 from sycamorecroft.platform import decode_worker
 from sycamorecroft.platform.names import WORKERS_TABLE
-from sycamorecroft.scheduling.model import WorkerEntry
+from sycamorecroft.scheduling.model import WorkerRegistration
 from sycamorecroft.store.interfaces import (
     PartitionedTableService,
     Row,
@@ -25,7 +25,7 @@
         self._tables = tables
         self._lock = threading.Lock()
         self._version: int | None = None
-        self._entries: dict[str, WorkerEntry] = {}
+        self._entries: dict[str, WorkerRegistration] = {}
 
     def refresh(self) -> frozenset[str]:
         """Takes in what has changed.
@@ -70,7 +70,7 @@
             else:
                 self._entries[row.key] = entry
 
-    def of_service(self, service: str) -> tuple[WorkerEntry, ...]:
+    def of_service(self, service: str) -> tuple[WorkerRegistration, ...]:
         """
         :returns: entries of a service's workers.
         """
@@ -78,7 +78,7 @@
             return tuple(e for e in self._entries.values() if e.service == service)
 
 
-def _decode(row: Row) -> WorkerEntry | None:
+def _decode(row: Row) -> WorkerRegistration | None:
     """
     :returns: ``None`` when the row was deleted or names no worker to use.
     """
--- a/src/sycamorecroft/platform/records.py
+++ b/src/sycamorecroft/platform/records.py
@@ -6,12 +6,12 @@
 
 from sycamorecroft.errors import RecordError
 from sycamorecroft.scheduling.model import (
-    Advice,
+    AdviceTimes,
     FleetSnapshot,
     Queue,
     Resources,
     Service,
-    WorkerEntry,
+    WorkerRegistration,
 )
 from sycamorecroft.upkeep.waves import Wave
 
@@ -46,7 +46,7 @@
 _WORKER_REQUIRED = ("service", "addr", "state", "capacity")
 
 
-def decode_worker(worker_id: str, value: bytes) -> WorkerEntry:
+def decode_worker(worker_id: str, value: bytes) -> WorkerRegistration:
     """
     :param value: row of a worker.
     :returns: the entry.
@@ -61,7 +61,7 @@
         message = f"entry of worker {worker_id}: missing {missing} or unknown state"
         raise RecordError(message)
     capacity = wire["capacity"]
-    return WorkerEntry(
+    return WorkerRegistration(
         worker_id=worker_id,
         service=wire["service"],
         address=wire["addr"],
@@ -71,8 +71,8 @@
         capacity=Resources(
             capacity.get("cpu", 0), capacity.get("mem-mb", 0), capacity.get("gpu", 0)
         ),
-        born_ms=wire.get("born", 0),
-        machine=wire.get("machine", ""),
+        incarnation_ms=wire.get("born", 0),
+        host=wire.get("machine", ""),
         remaining_ms=wire.get("remaining-ms", 0),
     )
 
@@ -113,8 +113,8 @@
     )
 
 
-def _advice(wire: dict[str, Any]) -> Advice:
-    return Advice(
+def _advice(wire: dict[str, Any]) -> AdviceTimes:
+    return AdviceTimes(
         int(wire.get("decide-ms", 0)),
         int(wire.get("period-ms", 0)),
         int(wire.get("valid-ms", 0)),
--- a/src/sycamorecroft/platform/submissions.py
+++ b/src/sycamorecroft/platform/submissions.py
@@ -80,13 +80,13 @@
         is_rack_local=wire.get("rack-local", False),
         is_speculative=wire.get("speculative", False),
         is_long_running=wire.get("long-running", False),
-        fills=wire.get("fills", False),
+        is_best_effort=wire.get("fills", False),
         required_label=wire.get("requires", ""),
         preferred_rack=wire.get("affinity", ""),
         tasks_per_worker_limit=wire.get("anti-affinity", 0),
         image=wire.get("image", ""),
         goal_ms=wire.get("goal-ms", 0),
-        may_miss_count=wire.get("may-miss", 0),
+        max_unavailable_count=wire.get("may-miss", 0),
     )
 
 
@@ -101,7 +101,7 @@
         if step.tasks_count < 1:
             message = f"step {number} needs 1 task or more, got {step.tasks_count}"
             raise RequestError(message)
-        if min(*step.demand, step.tasks_per_worker_limit, step.may_miss_count) < 0:
+        if min(*step.demand, step.tasks_per_worker_limit, step.max_unavailable_count) < 0:
             raise RequestError(f"step {number} has a negative demand or limit")
         if any(not 0 <= other < number for other in step.after):
             message = f"step {number} may only wait for earlier steps"
--- a/src/sycamorecroft/platform/tests/test_records.py
+++ b/src/sycamorecroft/platform/tests/test_records.py
@@ -35,7 +35,7 @@
     assert entry.rack == "r1-3"
     assert entry.is_draining
     assert entry.capacity.cpu_millicores == 16000
-    assert entry.born_ms == 17
+    assert entry.incarnation_ms == 17
 
 
 @pytest.mark.parametrize(
@@ -101,7 +101,7 @@
     assert found.reserved.cpu_millicores == 0
     assert (found.is_checkpointed, found.is_gang, found.is_rack_local) == (True,) * 3
     assert (found.required_label, found.preferred_rack) == ("b", "r1")
-    assert (found.tasks_per_worker_limit, found.may_miss_count) == (2, 1)
+    assert (found.tasks_per_worker_limit, found.max_unavailable_count) == (2, 1)
     assert (found.is_speculative, found.is_long_running) == (True, True)
     assert (found.image, found.goal_ms) == ("i", 50)
     assert decoded[2:] == (3, 5, 7)
--- a/src/sycamorecroft/platform/workers.py
+++ b/src/sycamorecroft/platform/workers.py
@@ -11,7 +11,7 @@
 )
 from sycamorecroft.scheduling.calls import (
     FinishedRun,
-    HoldReply,
+    RenewalReply,
     OrderReply,
     OrderStatus,
     RunningTask,
@@ -50,9 +50,9 @@
             "X-Expect-Instance": worker_id,
         }
 
-    def hold(
+    def renew_leases(
         self, *, acknowledged: int, deadline_ms: int | None, wait_ms: int
-    ) -> HoldReply:
+    ) -> RenewalReply:
         body = {"fence": self._epoch, "ack-cursor": acknowledged, "wait-ms": wait_ms}
         if deadline_ms is not None:
             body["deadline-ms"] = deadline_ms
@@ -90,7 +90,7 @@
         body = {"task": task, "attempt": attempt, "fence": self._epoch}
         return self._order("/api/run-stop", body)
 
-    def pace(self, task: str, attempt: int, percent: int) -> OrderReply:
+    def throttle(self, task: str, attempt: int, percent: int) -> OrderReply:
         body = {
             "task": task,
             "attempt": attempt,
@@ -136,14 +136,14 @@
     return OrderReply(OrderStatus.REJECTED, f"status {reply.status}", clock_ms)
 
 
-def _decode_hold(reply: Reply) -> HoldReply:
+def _decode_hold(reply: Reply) -> RenewalReply:
     try:
         if reply.status != STATUS_OK:
             raise ValueError(f"status {reply.status}")
         body = msgspec.json.decode(reply.body)
-        return HoldReply(
+        return RenewalReply(
             clock_ms=int(body["clock-ms"]),
-            born_ms=int(body.get("born", 0)),
+            incarnation_ms=int(body.get("born", 0)),
             running=tuple(RunningTask(*row[:5]) for row in body["running"]),
             finished=tuple(FinishedRun(*row[:5]) for row in body["finished"]),
         )
--- a/src/sycamorecroft/scheduling/advice.py
+++ b/src/sycamorecroft/scheduling/advice.py
@@ -47,7 +47,7 @@
         """
 
 
-class AskAdvice(NamedTuple):
+class AdviceRequest(NamedTuple):
     """Question which of some workers may run a step."""
 
     step: StepId
@@ -57,17 +57,17 @@
 class AdviceResult(NamedTuple):
     """Answer to a question; ``approvals`` is ``None`` when there was none."""
 
-    question: AskAdvice
+    request: AdviceRequest
     approvals: Approvals | None
 
 
 class _Ticket(NamedTuple):
     ticket: str
     valid_until_s: float
-    born_ms: int
+    incarnation_ms: int
 
 
-class AdviceBook:
+class ApprovalCache:
     """Approvals that are known, by step. Not thread-safe.
 
     A worker that was refused once isn't asked about again: the answer doesn't change.
@@ -78,20 +78,20 @@
         self._refused: dict[StepId, set[str]] = {}
         self._asked_until_s: dict[StepId, float] = {}
 
-    def ticket(self, step: StepId, worker_id: str, born_ms: int, now_s: float) -> str:
+    def ticket(self, step: StepId, worker_id: str, incarnation_ms: int, now_s: float) -> str:
         """
         :param born_ms: life of the worker; a ticket ends with the life it was for.
         :returns: a valid ticket, empty if there is none.
         """
         known = self._tickets.get(step, {}).get(worker_id)
-        if known is None or known.born_ms != born_ms:
+        if known is None or known.incarnation_ms != incarnation_ms:
             return ""
         is_valid = now_s + TICKET_MARGIN_S < known.valid_until_s
         return known.ticket if is_valid else ""
 
-    def question(
+    def request(
         self, step: StepId, workers: list[str], now_s: float
-    ) -> AskAdvice | None:
+    ) -> AdviceRequest | None:
         """
         :param workers: workers with room that have no valid ticket, best first.
         :returns: what to ask now, ``None`` when a call is on its way or none is left.
@@ -103,13 +103,13 @@
         if not asked:
             return None
         self._asked_until_s[step] = float("inf")
-        return AskAdvice(step, tuple(asked[:WORKERS_PER_CALL_COUNT]))
+        return AdviceRequest(step, tuple(asked[:WORKERS_PER_CALL_COUNT]))
 
     def apply(
-        self, result: AdviceResult, born_ms: dict[str, int], now_s: float
+        self, result: AdviceResult, incarnations_ms: dict[str, int], now_s: float
     ) -> None:
         """Takes in an answer."""
-        step = result.question.step
+        step = result.request.step
         if result.approvals is None:
             self._asked_until_s[step] = now_s + RETRY_S
             return
@@ -117,12 +117,12 @@
         valid_until_s = now_s + result.approvals.valid_s
         tickets = self._tickets.setdefault(step, {})
         for approval in result.approvals.approved:
-            life_ms = born_ms.get(approval.worker_id, 0)
+            incarnation_ms = incarnations_ms.get(approval.worker_id, 0)
             tickets[approval.worker_id] = _Ticket(
-                approval.ticket, valid_until_s, life_ms
+                approval.ticket, valid_until_s, incarnation_ms
             )
         approved = {approval.worker_id for approval in result.approvals.approved}
-        refused = set(result.question.workers) - approved
+        refused = set(result.request.workers) - approved
         self._refused.setdefault(step, set()).update(refused)
 
     def forget_ticket(self, step: StepId, worker_id: str) -> None:
--- a/src/sycamorecroft/scheduling/calls.py
+++ b/src/sycamorecroft/scheduling/calls.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class RunEnd(StrEnum):
+class RunOutcome(StrEnum):
     """How a run ended.
 
     ``LAPSED``: its lease expired. ``BROKEN``: another member of its gang ended.
@@ -15,9 +15,9 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
-    BROKEN = "broken"
-    ALONE = "alone"
+    EXPIRED = "lapsed"
+    GANG_BROKEN = "broken"
+    GANG_INCOMPLETE = "alone"
 
 
 class RunningTask(NamedTuple):
@@ -41,15 +41,15 @@
     number: int
     task: str
     attempt: int
-    end: str
+    outcome: str
     checkpoint: str
 
 
-class HoldReply(NamedTuple):
+class RenewalReply(NamedTuple):
     """Runs of a worker; ``clock_ms`` is the worker's steady clock."""
 
     clock_ms: int
-    born_ms: int
+    incarnation_ms: int
     running: tuple[RunningTask, ...]
     finished: tuple[FinishedRun, ...]
 
@@ -93,9 +93,9 @@
     """Calls to one worker. Each order carries the epoch of the caller's lease."""
 
     @abstractmethod
-    def hold(
+    def renew_leases(
         self, *, acknowledged: int, deadline_ms: int | None, wait_ms: int
-    ) -> HoldReply:
+    ) -> RenewalReply:
         """Extends the lease of all runs and returns them, waiting for an end.
 
         :param acknowledged: number of the last end that is stored.
@@ -118,7 +118,7 @@
         """
 
     @abstractmethod
-    def pace(self, task: str, attempt: int, percent: int) -> OrderReply:
+    def throttle(self, task: str, attempt: int, percent: int) -> OrderReply:
         """Limits the share of a worker that a run may use.
 
         :returns: outcome of the order.
--- a/src/sycamorecroft/scheduling/commit_queue.py
+++ b/src/sycamorecroft/scheduling/commit_queue.py
@@ -4,7 +4,7 @@
 
 from sycamorecroft.scheduling.commit import Acknowledgement, Commit, JobProgress
 from sycamorecroft.scheduling.jobs import Job, RunPhase
-from sycamorecroft.scheduling.order import job_rank
+from sycamorecroft.scheduling.job_ranking import job_rank
 from sycamorecroft.scheduling.pending_counts import PendingCounts
 
 JOBS_PER_COMMIT_COUNT = 90
@@ -49,7 +49,7 @@
         """The worker started again and counts its ends anew."""
         self._acknowledgements.pop(worker_id, None)
 
-    def note_ended(self, job_id: str, now_s: float) -> None:
+    def record_ended(self, job_id: str, now_s: float) -> None:
         """A job has ended and nothing of it runs any more."""
         self._ended_s[job_id] = now_s
 
@@ -83,12 +83,12 @@
         pending = self._pending.changed(jobs.values(), now_s)
         if not (self._dirty or self._acknowledgements or self._expired or pending):
             return None
-        chosen = self._choose(now_s)
+        chosen = self._choose_jobs(now_s)
         for job in chosen:
             del self._dirty[job.id]
         entries = [JobProgress(job.id, job.progress(now_ms)) for job in chosen]
-        room_count = JOBS_PER_COMMIT_COUNT - len(entries)
-        entries += self._take_expired(room_count // ROWS_PER_EXPIRED_JOB_COUNT)
+        free_count = JOBS_PER_COMMIT_COUNT - len(entries)
+        entries += self._take_expired(free_count // ROWS_PER_EXPIRED_JOB_COUNT)
         starts = tuple(
             run
             for job in chosen
@@ -97,7 +97,7 @@
         )
         return Commit(tuple(entries), starts, self._take_acknowledgements(), pending)
 
-    def _choose(self, now_s: float) -> list[Job]:
+    def _choose_jobs(self, now_s: float) -> list[Job]:
         """Takes jobs that can still be in time first when a commit can't hold all."""
         jobs = list(self._dirty.values())
         if len(jobs) > JOBS_PER_COMMIT_COUNT:
--- a/src/sycamorecroft/scheduling/evacuation.py
+++ b/src/sycamorecroft/scheduling/evacuation.py
@@ -3,21 +3,21 @@
 from collections.abc import Iterable, Iterator, Mapping
 
 from sycamorecroft.scheduling.jobs import Run, RunPhase, Task
-from sycamorecroft.scheduling.placement import choose_worker, could_take
+from sycamorecroft.scheduling.placement import choose_worker, could_fit_later
 from sycamorecroft.scheduling.workers import Worker
 
 
-def runs_to_move(workers: Mapping[str, Worker], now_s: float) -> Iterator[Run]:
+def choose_runs_to_evacuate(workers: Mapping[str, Worker], now_s: float) -> Iterator[Run]:
     """Chooses runs that have another worker to go to and may be missed for a while.
 
     The caller stops each run before it asks for the next, so that the tasks of a step
     that are away at once stay within the step's limit.
     """
-    targets = [worker for worker in workers.values() if worker.takes_tasks(now_s)]
+    targets = [worker for worker in workers.values() if worker.accepts_tasks(now_s)]
     for target in targets:
-        target.is_held_for_move = False
+        target.is_evacuation_target = False
     for worker in workers.values():
-        if not (worker.is_reserved or worker.entry.is_draining):
+        if not (worker.is_reserved or worker.registration.is_draining):
             continue
         for run in list(worker.runs.values()):
             if run.phase is not RunPhase.RUNNING:
@@ -25,12 +25,12 @@
             if not run.task.spec.is_long_running:
                 continue
             if choose_worker(targets, run.task, now_s) is None:
-                _hold_room(targets, run.task)
-            elif _may_be_missed(run.task, workers, now_s):
+                _keep_capacity_for(targets, run.task)
+            elif _may_be_unavailable(run.task, workers, now_s):
                 yield run
 
 
-def _hold_room(targets: Iterable[Worker], task: Task) -> None:
+def _keep_capacity_for(targets: Iterable[Worker], task: Task) -> None:
     """Keeps a full worker's room, as it becomes free, for a task that must move.
 
     Short tasks that wait would otherwise take it each time.
@@ -38,23 +38,23 @@
     fitting = [
         worker
         for worker in targets
-        if could_take(worker, task) and not worker.is_held_for_move
+        if could_fit_later(worker, task) and not worker.is_evacuation_target
     ]
     if fitting:
         emptiest = max(fitting, key=lambda worker: worker.free.cpu_millicores)
-        emptiest.is_held_for_move = True
+        emptiest.is_evacuation_target = True
 
 
-def _may_be_missed(task: Task, workers: Mapping[str, Worker], now_s: float) -> bool:
-    away_count = sum(
-        not _is_at_work(other, workers, now_s)
+def _may_be_unavailable(task: Task, workers: Mapping[str, Worker], now_s: float) -> bool:
+    unavailable_count = sum(
+        not _is_serving(other, workers, now_s)
         for other in task.job.step_tasks(task.id.occurrence, task.id.step)
         if other is not task
     )
-    return away_count < max(1, task.spec.may_miss_count)
+    return unavailable_count < max(1, task.spec.max_unavailable_count)
 
 
-def _is_at_work(task: Task, workers: Mapping[str, Worker], now_s: float) -> bool:
+def _is_serving(task: Task, workers: Mapping[str, Worker], now_s: float) -> bool:
     run = task.run
     if run is None or run.phase is not RunPhase.RUNNING:
         return False
--- a/src/sycamorecroft/scheduling/order.py
+++ b/src/sycamorecroft/scheduling/job_ranking.py
@@ -4,31 +4,31 @@
 from sycamorecroft.scheduling.model import JobSpec
 
 
-def chain_ms(spec: JobSpec, done_steps: frozenset[int] = frozenset()) -> float:
+def critical_path_ms(spec: JobSpec, done_steps: frozenset[int] = frozenset()) -> float:
     """
     :param done_steps: steps that take no more time.
     :returns: estimated time of the longest chain of steps.
     """
-    ends: list[float] = []
+    ends_ms: list[float] = []
     for number, step in enumerate(spec.steps):
-        begin = max((ends[other] for other in step.after), default=0.0)
+        start_ms = max((ends_ms[other] for other in step.after), default=0.0)
         duration_ms = 0 if number in done_steps else step.estimate_ms
-        ends.append(begin + duration_ms)
-    return max(ends, default=0.0)
+        ends_ms.append(start_ms + duration_ms)
+    return max(ends_ms, default=0.0)
 
 
-def _chain_left_s(job: Job) -> float:
+def _critical_path_left_s(job: Job) -> float:
     """Estimates what the steps that haven't ended take; kept until a task ends."""
-    if job.chain_left_s is None:
-        job.chain_left_s = chain_ms(job.spec, job.done_steps()) / 1000
-    return job.chain_left_s
+    if job.critical_path_left_s is None:
+        job.critical_path_left_s = critical_path_ms(job.spec, job.done_steps()) / 1000
+    return job.critical_path_left_s
 
 
 def objective_end_s(job: Job) -> float:
     """
     :returns: monotonic time until which the job's result counts in full.
     """
-    allowed_ms = job.queue.stretch_ratio * chain_ms(job.spec) + job.queue.objective_ms
+    allowed_ms = job.queue.stretch_ratio * critical_path_ms(job.spec) + job.queue.objective_ms
     return job.accepted_s + allowed_ms / 1000
 
 
@@ -42,5 +42,5 @@
     :returns: key to sort by.
     """
     end_s = objective_end_s(job)
-    is_late = now_s + _chain_left_s(job) > end_s
+    is_late = now_s + _critical_path_left_s(job) > end_s
     return (job.queue.priority, not job.spec.is_long_running, is_late, end_s)
--- a/src/sycamorecroft/scheduling/jobs.py
+++ b/src/sycamorecroft/scheduling/jobs.py
@@ -36,14 +36,14 @@
 
     __slots__ = (
         "attempt",
-        "born_ms",
+        "incarnation_ms",
         "gauge",
-        "pace_percent",
+        "share_percent",
         "phase",
         "progress_percent",
         "progressed_s",
         "rack",
-        "settled_s",
+        "confirmed_s",
         "started_s",
         "task",
         "worker_id",
@@ -53,24 +53,24 @@
         self,
         task: "Task",
         worker_id: str,
-        born_ms: int,
+        incarnation_ms: int,
         phase: RunPhase,
         now_s: float,
-        settled_s: float | None = None,
+        confirmed_s: float | None = None,
         rack: str = "",
     ) -> None:
         self.task = task
         self.rack = rack
         self.attempt = task.attempt
         self.worker_id = worker_id
-        self.born_ms = born_ms
+        self.incarnation_ms = incarnation_ms
         self.phase = phase
-        self.settled_s = settled_s
+        self.confirmed_s = confirmed_s
         self.started_s = now_s
         self.progressed_s = now_s
         self.progress_percent = 0
         self.gauge = 0
-        self.pace_percent: int | None = 100
+        self.share_percent: int | None = 100
 
 
 class Task:
@@ -122,7 +122,7 @@
             self.failures_count,
             self.is_done,
             run.worker_id if run else "",
-            run.born_ms if run else 0,
+            run.incarnation_ms if run else 0,
             self.checkpoint,
         )
 
@@ -142,18 +142,18 @@
         self.accepted_s = now_s - max(0, now_ms - row.accepted_ms) / 1000
         self.state = JobState.QUEUED
         self.tasks: dict[TaskId, Task] = {}
-        self.occurrences_begun_count = 0
-        self.chain_left_s: float | None = None
+        self.occurrences_started_count = 0
+        self.critical_path_left_s: float | None = None
 
     @property
     def is_active(self) -> bool:
         """Whether tasks may still be started."""
         return not self.state.is_final
 
-    def begin_occurrence(self, now_s: float) -> None:
+    def start_occurrence(self, now_s: float) -> None:
         """Adds the tasks of the next occurrence."""
-        occurrence = self.occurrences_begun_count
-        self.occurrences_begun_count += 1
+        occurrence = self.occurrences_started_count
+        self.occurrences_started_count += 1
         for step_number, step in enumerate(self.spec.steps):
             for index in range(step.tasks_count):
                 task_id = TaskId(self.id, occurrence, step_number, index)
@@ -161,23 +161,23 @@
                 task.waiting_since_s = now_s
                 self.tasks[task_id] = task
 
-    def begin_due_occurrences(self, now_s: float, now_ms: int) -> bool:
+    def start_due_occurrences(self, now_s: float, now_ms: int) -> bool:
         """
         :returns: whether an occurrence became due.
         """
-        has_begun = False
+        has_started = False
         while self._next_due_ms() <= now_ms and self._has_next_occurrence():
-            self.begin_occurrence(now_s)
-            has_begun = True
-        return has_begun
+            self.start_occurrence(now_s)
+            has_started = True
+        return has_started
 
     def _has_next_occurrence(self) -> bool:
-        return self.occurrences_begun_count < max(1, self.spec.occurrences_count)
+        return self.occurrences_started_count < max(1, self.spec.occurrences_count)
 
     def _next_due_ms(self) -> int:
         if not self.spec.is_scheduled:
             return 0
-        started = self.occurrences_begun_count * self.spec.interval_ms
+        started = self.occurrences_started_count * self.spec.interval_ms
         return self.spec.start_at_ms + started
 
     def step_tasks(self, occurrence: int, step: int) -> list[Task]:
@@ -194,7 +194,7 @@
         """
         count = len(self.spec.steps)
         done: frozenset[int] = frozenset()
-        for occurrence in range(self.occurrences_begun_count):
+        for occurrence in range(self.occurrences_started_count):
             done = frozenset(
                 number
                 for number in range(count)
@@ -209,15 +209,15 @@
         :returns: occurrence and number of each step with waiting tasks whose earlier
             steps have ended.
         """
-        for occurrence in range(self.occurrences_begun_count):
+        for occurrence in range(self.occurrences_started_count):
             for number, step in enumerate(self.spec.steps):
-                if not self._is_step_open(occurrence, step):
+                if not self._is_step_ready(occurrence, step):
                     continue
                 tasks = self.step_tasks(occurrence, number)
                 if any(task.is_waiting for task in tasks):
                     yield occurrence, number
 
-    def _is_step_open(self, occurrence: int, step: StepSpec) -> bool:
+    def _is_step_ready(self, occurrence: int, step: StepSpec) -> bool:
         return all(
             task.is_done
             for other in step.after
@@ -242,8 +242,8 @@
         """Takes over the stored progress; runs are believed to be in progress."""
         self.state = progress.state
         for stored in progress.tasks:
-            while stored.occurrence >= self.occurrences_begun_count:
-                self.begin_occurrence(now_s)
+            while stored.occurrence >= self.occurrences_started_count:
+                self.start_occurrence(now_s)
             task_id = TaskId(self.id, stored.occurrence, stored.step, stored.index)
             self._restore_task(self.tasks[task_id], stored, now_s)
 
@@ -258,12 +258,12 @@
             task.run = Run(
                 task,
                 stored.worker_id,
-                stored.born_ms,
+                stored.incarnation_ms,
                 RunPhase.STARTING,
                 now_s,
-                settled_s=now_s,
+                confirmed_s=now_s,
             )
-            task.run.pace_percent = None
+            task.run.share_percent = None
 
     def progress(self, now_ms: int) -> ProgressRow:
         """
--- a/src/sycamorecroft/scheduling/load_report.py
+++ b/src/sycamorecroft/scheduling/load_monitor.py
@@ -24,7 +24,7 @@
     millicore_s: float
 
 
-class LoadReport:
+class LoadMonitor:
     """Measures the load of one service. Not thread-safe."""
 
     def __init__(self, service: str, epoch: int) -> None:
@@ -41,7 +41,7 @@
         if job.spec.is_scheduled or job.spec.is_long_running:
             return
         work_ms = sum(
-            step.tasks_count * step.reserved.cpu_millicores * step.estimate_ms
+            step.tasks_count * step.allocation.cpu_millicores * step.estimate_ms
             for step in job.spec.steps
         )
         self._arrivals.append(Arrival(now_s, work_ms / 1000))
@@ -61,8 +61,8 @@
         waiting = list(_waiting_tasks(jobs))
         demand = Resources()
         for task in waiting:
-            demand = demand.plus(task.spec.reserved)
-        listed = [worker for worker in workers if worker.is_listed]
+            demand = demand.plus(task.spec.allocation)
+        listed = [worker for worker in workers if worker.is_registered]
         snapshot = PoolSnapshot(
             now_s,
             tuple(_worker_snapshot(worker, now_s) for worker in listed),
@@ -89,7 +89,7 @@
         if now_s - self._waiting_logged_s < WAITING_LOG_INTERVAL_S:
             return
         self._waiting_logged_s = now_s
-        usable = [worker for worker in workers if worker.takes_tasks(now_s)]
+        usable = [worker for worker in workers if worker.accepts_tasks(now_s)]
         oldest_s = min(task.waiting_since_s for task in waiting)
         _log.info(
             "tasks_wait",
@@ -118,13 +118,13 @@
 def _worker_snapshot(worker: Worker, now_s: float) -> WorkerSnapshot:
     return WorkerSnapshot(
         worker.id,
-        worker.entry.machine,
-        worker.entry.capacity,
+        worker.registration.host,
+        worker.registration.capacity,
         worker.used,
         len(worker.runs),
         worker.long_running_count,
         worker.is_reserved,
         worker.is_in_contact(now_s),
-        worker.is_expected(now_s),
-        worker.entry.is_draining,
+        worker.is_presumed_reachable(now_s),
+        worker.registration.is_draining,
     )
--- a/src/sycamorecroft/scheduling/model.py
+++ b/src/sycamorecroft/scheduling/model.py
@@ -30,7 +30,7 @@
             self.gpu_count - other.gpu_count,
         )
 
-    def holds(self, demand: "Resources") -> bool:
+    def covers(self, demand: "Resources") -> bool:
         """
         :returns: whether ``demand`` fits.
         """
@@ -59,18 +59,18 @@
     is_rack_local: bool = False
     is_speculative: bool = False
     is_long_running: bool = False
-    fills: bool = False
+    is_best_effort: bool = False
     required_label: str = ""
     preferred_rack: str = ""
     tasks_per_worker_limit: int = 0
     image: str = ""
     goal_ms: int = 0
-    may_miss_count: int = 0
+    max_unavailable_count: int = 0
 
     @property
-    def reserved(self) -> Resources:
+    def allocation(self) -> Resources:
         """Capacity that a task takes from its worker."""
-        return self.demand._replace(cpu_millicores=0) if self.fills else self.demand
+        return self.demand._replace(cpu_millicores=0) if self.is_best_effort else self.demand
 
 
 class JobSpec(NamedTuple):
@@ -120,7 +120,7 @@
         return cls(job_id, *map(int, numbers))
 
 
-class Advice(NamedTuple):
+class AdviceTimes(NamedTuple):
     """Times of the service that approves workers for the steps of a queue."""
 
     decide_ms: int
@@ -140,7 +140,7 @@
     stretch_ratio: float
     objective_ms: int
     timeout_ms: int
-    advice: Advice | None = None
+    advice: AdviceTimes | None = None
 
 
 class Service(NamedTuple):
@@ -165,7 +165,7 @@
     body_limit_bytes: int
 
 
-class WorkerEntry(NamedTuple):
+class WorkerRegistration(NamedTuple):
     """What a worker says of itself in the platform's store.
 
     ``born_ms`` is the Unix time of its start: a worker that started again under the
@@ -180,8 +180,8 @@
     is_draining: bool
     labels: tuple[str, ...]
     capacity: Resources
-    born_ms: int
-    machine: str = ""
+    incarnation_ms: int
+    host: str = ""
     remaining_ms: int = 0
 
     @property
--- a/src/sycamorecroft/scheduling/orders.py
+++ b/src/sycamorecroft/scheduling/orders.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from sycamorecroft.scheduling.advice import AskAdvice
+from sycamorecroft.scheduling.advice import AdviceRequest
 from sycamorecroft.scheduling.jobs import Run
 
 STOP_RETRY_S = 0.5
@@ -29,7 +29,7 @@
     attempt: int
 
 
-class PaceTask(NamedTuple):
+class ThrottleTask(NamedTuple):
     """Order to limit the share of its worker that a run may use."""
 
     run: Run
@@ -41,15 +41,15 @@
         return self.run.worker_id
 
 
-Order = StartTask | StopTask | PaceTask | AskAdvice
+Order = StartTask | StopTask | ThrottleTask | AdviceRequest
 
 
-class OrderBook:
+class OrderQueue:
     """Orders in the sequence in which they were given. Not thread-safe."""
 
     def __init__(self) -> None:
         self._orders: list[Order] = []
-        self._stopped_s: dict[tuple[str, int], float] = {}
+        self._last_stop_s: dict[tuple[str, int], float] = {}
 
     def add(self, order: Order) -> None:
         """Adds an order."""
@@ -61,17 +61,17 @@
         :returns: whether it was added.
         """
         key = (task, attempt)
-        if now_s - self._stopped_s.get(key, -STOP_RETRY_S) < STOP_RETRY_S:
+        if now_s - self._last_stop_s.get(key, -STOP_RETRY_S) < STOP_RETRY_S:
             return False
-        self._stopped_s[key] = now_s
+        self._last_stop_s[key] = now_s
         self._orders.append(StopTask(worker_id, task, attempt))
         return True
 
     def forget_job(self, job_id: str) -> None:
         """Forgets when tasks of a job were stopped."""
         prefix = f"{job_id}."
-        for key in [key for key in self._stopped_s if key[0].startswith(prefix)]:
-            del self._stopped_s[key]
+        for key in [key for key in self._last_stop_s if key[0].startswith(prefix)]:
+            del self._last_stop_s[key]
 
     def take(self) -> list[Order]:
         """
--- a/src/sycamorecroft/scheduling/placement.py
+++ b/src/sycamorecroft/scheduling/placement.py
@@ -9,21 +9,21 @@
 LAST_ATTEMPT_WAIT_S = 1.0
 
 
-def may_hold(worker: Worker, task: Task) -> bool:
+def fits_when_empty(worker: Worker, task: Task) -> bool:
     """
     :returns: whether the worker could ever run the task, were it empty.
     """
     spec = task.spec
-    labels = worker.entry.labels
+    labels = worker.registration.labels
     has_label = not spec.required_label or spec.required_label in labels
-    return has_label and worker.entry.capacity.holds(spec.reserved)
+    return has_label and worker.registration.capacity.covers(spec.allocation)
 
 
-def could_take(worker: Worker, task: Task) -> bool:
+def could_fit_later(worker: Worker, task: Task) -> bool:
     """
     :returns: whether the worker could run the task once other tasks have ended.
     """
-    return may_hold(worker, task) and _is_below_limit(worker, task)
+    return fits_when_empty(worker, task) and _is_below_limit(worker, task)
 
 
 def choose_worker(workers: Iterable[Worker], task: Task, now_s: float) -> Worker | None:
@@ -43,7 +43,7 @@
     best_rank: tuple[float, ...] = ()
     racks = _racks_of_step(task)
     for worker in workers:
-        if not _has_room(worker, task) or _is_spared(worker, task, now_s):
+        if not _has_free_capacity(worker, task) or _is_avoided_for_last_attempt(worker, task, now_s):
             continue
         rank = _rank(worker, task, racks)
         if best is None or rank < best_rank:
@@ -51,11 +51,11 @@
     return best
 
 
-def _has_room(worker: Worker, task: Task) -> bool:
+def _has_free_capacity(worker: Worker, task: Task) -> bool:
     spec = task.spec
-    if spec.required_label and spec.required_label not in worker.entry.labels:
+    if spec.required_label and spec.required_label not in worker.registration.labels:
         return False
-    return worker.free.holds(spec.reserved) and _is_below_limit(worker, task)
+    return worker.free.covers(spec.allocation) and _is_below_limit(worker, task)
 
 
 def _is_below_limit(worker: Worker, task: Task) -> bool:
@@ -63,11 +63,11 @@
     if not limit:
         return True
     task_id = task.id
-    count = worker.tasks_of_step_count(task_id.job_id, task_id.occurrence, task_id.step)
+    count = worker.step_tasks_count(task_id.job_id, task_id.occurrence, task_id.step)
     return count < limit
 
 
-def _is_spared(worker: Worker, task: Task, now_s: float) -> bool:
+def _is_avoided_for_last_attempt(worker: Worker, task: Task, now_s: float) -> bool:
     """Keeps a task's last attempt for a worker where it hasn't failed, for a while."""
     if worker.id not in task.failed_workers:
         return False
@@ -90,13 +90,13 @@
 
 def _rank(worker: Worker, task: Task, racks: dict[str, int]) -> tuple[float, ...]:
     spec = task.spec
-    entry = worker.entry
-    is_far = bool(spec.preferred_rack) and spec.preferred_rack not in entry.labels
-    same_rack_count = racks.get(entry.rack, 0)
+    registration = worker.registration
+    is_far = bool(spec.preferred_rack) and spec.preferred_rack not in registration.labels
+    same_rack_count = racks.get(registration.rack, 0)
     if spec.is_rack_local:
         same_rack_count = -same_rack_count
     is_due = spec.is_long_running and worker.is_due
-    free_ratio = worker.free.cpu_millicores / max(1, entry.capacity.cpu_millicores)
+    free_ratio = worker.free.cpu_millicores / max(1, registration.capacity.cpu_millicores)
     if spec.is_long_running:
         packing = (-free_ratio,)
     else:
@@ -104,7 +104,7 @@
     return (
         worker.id in task.failed_workers,
         worker.failed_jobs_count,
-        worker.is_slow or worker.is_held_back,
+        worker.is_slow or worker.is_stalled,
         is_far,
         is_due,
         same_rack_count,
--- a/src/sycamorecroft/scheduling/pool_rows.py
+++ b/src/sycamorecroft/scheduling/pool_rows.py
@@ -12,11 +12,11 @@
 
 # Name under which hosts claim the right to order moves and upkeep. It can't be the
 # name of a service, which has no tilde.
-MACHINES_CLAIM = "~machines"
+FLEET_CONTROLLER_CLAIM = "~machines"
 LOADS_TABLE = "loads"
 MARKS_TABLE = "marks"
 # Key of the machines' sizes beside the row of their owner, which all hosts follow.
-SIZES_KEY = "sizes"
+HOST_SIZES_KEY = "sizes"
 
 
 class LoadRow(NamedTuple):
@@ -27,7 +27,7 @@
     snapshot: PoolSnapshot
 
 
-class MachineSizesRow(NamedTuple):
+class HostSizesRow(NamedTuple):
     """Distinct capacities of all machines, standby included."""
 
     sizes: tuple[Resources, ...]
--- a/src/sycamorecroft/scheduling/pool_snapshot.py
+++ b/src/sycamorecroft/scheduling/pool_snapshot.py
@@ -14,18 +14,18 @@
     """
 
     worker_id: str
-    machine: str
+    host: str
     capacity: Resources
     used: Resources
     runs_count: int
     long_running_count: int
     is_reserved: bool
     is_in_contact: bool
-    is_expected: bool
+    is_presumed_reachable: bool
     is_draining: bool = False
 
     @property
-    def is_emptied(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether the worker runs nothing and gets nothing new."""
         return self.is_reserved and self.is_in_contact and not self.runs_count
 
--- a/src/sycamorecroft/scheduling/rows.py
+++ b/src/sycamorecroft/scheduling/rows.py
@@ -91,7 +91,7 @@
     failures_count: int = 0
     is_done: bool = False
     worker_id: str = ""
-    born_ms: int = 0
+    incarnation_ms: int = 0
     checkpoint: str = ""
 
 
--- a/src/sycamorecroft/scheduling/run_book.py
+++ b/src/sycamorecroft/scheduling/run_tracker.py
@@ -6,16 +6,16 @@
 
 from sycamorecroft.metrics import JOB_ENDS, RUN_ENDS
 from sycamorecroft.recorder import Recorder
-from sycamorecroft.scheduling.calls import RunEnd
+from sycamorecroft.scheduling.calls import RunOutcome
 from sycamorecroft.scheduling.jobs import Job, Run, RunPhase, Task
-from sycamorecroft.scheduling.orders import OrderBook
+from sycamorecroft.scheduling.orders import OrderQueue
 from sycamorecroft.scheduling.rows import JobState
 from sycamorecroft.scheduling.workers import Worker
 
 _log = structlog.get_logger(__name__)
 
 
-class RunBook:
+class RunTracker:
     """Ends and stops of runs on the workers of one service. Not thread-safe."""
 
     def __init__(
@@ -23,7 +23,7 @@
         service: str,
         epoch: int,
         workers: dict[str, Worker],
-        orders: OrderBook,
+        orders: OrderQueue,
         recorder: Recorder,
         on_changed: Callable[[Job], None],
     ) -> None:
@@ -38,7 +38,7 @@
         self._recorder = recorder
         self._on_changed = on_changed
 
-    def end(self, run: Run, end: RunEnd, checkpoint: str, now_s: float) -> None:
+    def finish_run(self, run: Run, outcome: RunOutcome, checkpoint: str, now_s: float) -> None:
         """Frees the run's room and decides what its end means for the task."""
         task = run.task
         worker = self._workers.get(run.worker_id)
@@ -49,27 +49,27 @@
         if checkpoint:
             task.checkpoint = checkpoint
         self._on_changed(task.job)
-        self._recorder.count(RUN_ENDS, service=self._service, end=end.value)
+        self._recorder.count(RUN_ENDS, service=self._service, end=outcome.value)
         _log.info(
             "run_ended",
             task=task.id.name,
             attempt=run.attempt,
             worker=run.worker_id,
-            end=end,
+            end=outcome,
             duration_s=round(now_s - run.started_s, 3),
             failures_count=task.failures_count,
         )
         if not task.job.is_active:
             return
-        if end is RunEnd.DONE:
+        if outcome is RunOutcome.DONE:
             self._complete_task(task, worker, now_s, now_s - run.started_s)
-        elif end is RunEnd.FAILED:
+        elif outcome is RunOutcome.FAILED:
             self._fail_task(task, worker, now_s)
 
-    def lapse(self, runs: Iterable[Run], now_s: float) -> None:
+    def expire_runs(self, runs: Iterable[Run], now_s: float) -> None:
         """Ends runs that their worker doesn't have any more."""
         for run in runs:
-            self.end(run, RunEnd.LAPSED, "", now_s)
+            self.finish_run(run, RunOutcome.EXPIRED, "", now_s)
 
     def _complete_task(
         self, task: Task, worker: Worker | None, now_s: float, duration_s: float
@@ -85,9 +85,9 @@
             members = task.job.step_tasks(task.id.occurrence, task.id.step)
         for member in members:
             member.is_done = True
-        task.job.chain_left_s = None
+        task.job.critical_path_left_s = None
         if task.job.is_complete():
-            self.finish(task.job, JobState.COMPLETE, now_s)
+            self.finish_job(task.job, JobState.COMPLETE, now_s)
 
     def _fail_task(self, task: Task, worker: Worker | None, now_s: float) -> None:
         job = task.job
@@ -104,9 +104,9 @@
             return
         task.failures_count += 1
         if task.failures_count >= job.queue.attempts_count:
-            self.finish(job, JobState.FAILED, now_s)
+            self.finish_job(job, JobState.FAILED, now_s)
 
-    def finish(self, job: Job, state: JobState, now_s: float) -> None:
+    def finish_job(self, job: Job, state: JobState, now_s: float) -> None:
         """Ends a job and stops what still runs of it."""
         job.state = state
         self._on_changed(job)
@@ -120,17 +120,17 @@
             epoch=self._epoch,
         )
         for run in job.runs():
-            self.stop(run, now_s)
+            self.stop_run(run, now_s)
 
-    def stop(self, run: Run, now_s: float) -> None:
+    def stop_run(self, run: Run, now_s: float) -> None:
         """Ends a run; its room is free only once the worker says so."""
         if run.phase is RunPhase.COMMITTING:
-            self.end(run, RunEnd.STOPPED, "", now_s)
+            self.finish_run(run, RunOutcome.STOPPED, "", now_s)
             return
         if run.phase is RunPhase.STOPPING:
             return
         run.phase = RunPhase.STOPPING
-        run.settled_s = None
+        run.confirmed_s = None
         self._order_stop(run, now_s)
 
     def retry_stops(self, now_s: float) -> None:
@@ -139,7 +139,7 @@
             if not worker.is_in_contact(now_s):
                 continue
             for run in worker.runs.values():
-                if run.phase is RunPhase.STOPPING and run.settled_s is None:
+                if run.phase is RunPhase.STOPPING and run.confirmed_s is None:
                     self._order_stop(run, now_s)
 
     def _order_stop(self, run: Run, now_s: float) -> None:
--- a/src/sycamorecroft/scheduling/scheduler.py
+++ b/src/sycamorecroft/scheduling/scheduler.py
@@ -7,20 +7,20 @@
 
 from sycamorecroft.errors import RecordError
 from sycamorecroft.recorder import NullRecorder, Recorder
-from sycamorecroft.scheduling.advice import AdviceBook, AdviceResult
+from sycamorecroft.scheduling.advice import ApprovalCache, AdviceResult
 from sycamorecroft.scheduling.commit import Commit
 from sycamorecroft.scheduling.commit_queue import CommitQueue
-from sycamorecroft.scheduling.evacuation import runs_to_move
+from sycamorecroft.scheduling.evacuation import choose_runs_to_evacuate
 from sycamorecroft.scheduling.jobs import Job, Run, RunPhase
-from sycamorecroft.scheduling.load_report import LoadReport
-from sycamorecroft.scheduling.model import Resources, WorkerEntry
+from sycamorecroft.scheduling.load_monitor import LoadMonitor
+from sycamorecroft.scheduling.model import Resources, WorkerRegistration
 from sycamorecroft.scheduling.orders import (
     Order,
-    OrderBook,
-    PaceTask,
+    OrderQueue,
+    ThrottleTask,
     StartTask,
 )
-from sycamorecroft.scheduling.pacing import plan_paces
+from sycamorecroft.scheduling.throttling import plan_throttles
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot
 from sycamorecroft.scheduling.rows import (
     CANCEL_SUFFIX,
@@ -29,10 +29,10 @@
     ProgressRow,
     decode_row,
 )
-from sycamorecroft.scheduling.run_book import RunBook
+from sycamorecroft.scheduling.run_tracker import RunTracker
 from sycamorecroft.scheduling.task_placer import TaskPlacer
 from sycamorecroft.scheduling.worker_reports import WorkerReports
-from sycamorecroft.scheduling.worker_watch import age_s, compare_workers
+from sycamorecroft.scheduling.worker_health import run_list_age_s, update_worker_health
 from sycamorecroft.scheduling.workers import Worker
 from sycamorecroft.store.interfaces import Row
 
@@ -74,10 +74,10 @@
         self.jobs: dict[str, Job] = {}
         self.workers: dict[str, Worker] = {}
         self._commits = CommitQueue(settings.retention_s)
-        self._orders = OrderBook()
-        self._advice = AdviceBook()
-        self._runs = RunBook(
-            service, epoch, self.workers, self._orders, recorder, self._note_changed
+        self._orders = OrderQueue()
+        self._advice = ApprovalCache()
+        self._runs = RunTracker(
+            service, epoch, self.workers, self._orders, recorder, self._on_job_changed
         )
         self.reports = WorkerReports(
             service,
@@ -88,7 +88,7 @@
             self._advice,
             recorder,
             former_lease_end_s=settings.former_lease_end_s,
-            on_room=self._note_room,
+            on_capacity_freed=self._on_capacity_freed,
         )
         self._placer = TaskPlacer(
             self.workers,
@@ -97,15 +97,15 @@
             self._commits.mark_dirty,
             lambda: self._commits.is_full,
         )
-        self._load = LoadReport(service, epoch)
+        self._load_monitor = LoadMonitor(service, epoch)
         self._is_placement_due = False
         self._clock_ms = 0
 
-    def _note_changed(self, job: Job) -> None:
+    def _on_job_changed(self, job: Job) -> None:
         self._commits.mark_dirty(job)
         self._is_placement_due = True
 
-    def _note_room(self) -> None:
+    def _on_capacity_freed(self) -> None:
         self._is_placement_due = True
 
     def load(
@@ -142,34 +142,34 @@
             self.apply_job_rows((row,), now_s, now_ms)
             return
         if progress.state.is_final and not progress.tasks:
-            self._commits.note_ended(row.key, now_s)
+            self._commits.record_ended(row.key, now_s)
             return
         record = _decode(row, JobRow)
         if record is None:
             return
         job = Job(row.key, record, now_s, now_ms)
-        job.begin_due_occurrences(now_s, now_ms)
+        job.start_due_occurrences(now_s, now_ms)
         job.restore(progress, now_s)
         self.jobs[job.id] = job
         for run in job.runs():
-            self._adopt(run, now_s)
+            self._adopt_run(run, now_s)
         self._is_placement_due = True
 
-    def _adopt(self, run: Run, now_s: float) -> None:
+    def _adopt_run(self, run: Run, now_s: float) -> None:
         """Counts a run of a former owner at its worker, which may be gone."""
         worker = self.workers.get(run.worker_id)
         if worker is None:
-            entry = WorkerEntry(
-                run.worker_id, self.service, "", "", False, (), Resources(), run.born_ms
+            entry = WorkerRegistration(
+                run.worker_id, self.service, "", "", False, (), Resources(), run.incarnation_ms
             )
             worker = Worker(entry, self._settings.former_lease_end_s)
-            worker.is_listed = False
+            worker.is_registered = False
             self.workers[worker.id] = worker
         run.phase = RunPhase.RUNNING
         run.rack = worker.entry.rack
         worker.add(run)
         if not run.task.job.is_active:
-            self._runs.stop(run, now_s)
+            self._runs.stop_run(run, now_s)
 
     def apply_job_rows(self, rows: Iterable[Row], now_s: float, now_ms: int) -> None:
         """Takes in submissions and cancellations."""
@@ -188,9 +188,9 @@
             return
         job = Job(row.key, record, now_s, now_ms)
         self.jobs[job.id] = job
-        job.begin_due_occurrences(now_s, now_ms)
+        job.start_due_occurrences(now_s, now_ms)
         self._is_placement_due = True
-        self._load.record_arrival(job, now_s)
+        self._load_monitor.record_arrival(job, now_s)
         _log.info(
             "job_taken_in",
             job=job.id,
@@ -203,7 +203,7 @@
         job = self.jobs.get(job_id)
         if job is not None and job.is_active:
             _log.info("job_cancelled", job=job_id, state=job.state)
-            self._runs.finish(job, JobState.CANCELLED, now_s)
+            self._runs.finish_job(job, JobState.CANCELLED, now_s)
 
     def tick(self, now_s: float, now_ms: int) -> None:
         """Does what depends on time only."""
@@ -211,17 +211,17 @@
         self.reports.check_contacts(now_s)
         for job in list(self.jobs.values()):
             if job.is_active:
-                job.begin_due_occurrences(now_s, now_ms)
-        compare_workers(self.workers.values(), now_s)
+                job.start_due_occurrences(now_s, now_ms)
+        update_worker_health(self.workers.values(), now_s)
         self._runs.retry_stops(now_s)
         self._evacuate(now_s)
-        self._pace(now_s)
+        self._throttle(now_s)
         self._commits.expire(now_s)
         self._is_placement_due = True
 
     def _evacuate(self, now_s: float) -> None:
         """Moves long-running tasks off workers that are about to be emptied."""
-        for run in runs_to_move(self.workers, now_s):
+        for run in choose_runs_to_evacuate(self.workers, now_s):
             worker = self.workers[run.worker_id]
             _log.info(
                 "task_moved_away",
@@ -230,27 +230,27 @@
                 worker=worker.id,
                 reason="draining" if worker.entry.is_draining else "planned work",
             )
-            self._runs.stop(run, now_s)
+            self._runs.stop_run(run, now_s)
 
-    def _pace(self, now_s: float) -> None:
+    def _throttle(self, now_s: float) -> None:
         """Slows down or speeds up tasks that fill beside tasks that serve."""
-        for run, percent in plan_paces(self.workers.values(), now_s):
+        for run, percent in plan_throttles(self.workers.values(), now_s):
             _log.info(
                 "task_paced",
                 task=run.task.id.name,
                 attempt=run.attempt,
                 worker=run.worker_id,
-                former_percent=run.pace_percent,
+                former_percent=run.share_percent,
                 percent=percent,
-                list_age_s=age_s(self.workers[run.worker_id], now_s),
+                list_age_s=run_list_age_s(self.workers[run.worker_id], now_s),
             )
-            self._orders.add(PaceTask(run, percent))
+            self._orders.add(ThrottleTask(run, percent))
 
     def snapshot(self, now_s: float) -> PoolSnapshot:
         """
         :returns: load of the service's workers.
         """
-        return self._load.snapshot(
+        return self._load_monitor.snapshot(
             self.jobs.values(),
             self.workers.values(),
             now_s,
@@ -269,14 +269,14 @@
 
     def apply_advice(self, result: AdviceResult, now_s: float) -> None:
         """Takes in an answer of the advice service."""
-        born_ms = {worker.id: worker.born_ms for worker in self.workers.values()}
-        self._advice.apply(result, born_ms, now_s)
+        incarnations_ms = {worker.id: worker.incarnation_ms for worker in self.workers.values()}
+        self._advice.apply(result, incarnations_ms, now_s)
         self._is_placement_due = True
         approvals = result.approvals
         _log.info(
             "advice_taken_in",
-            step=result.question.step.name,
-            asked_count=len(result.question.workers),
+            step=result.request.step.name,
+            asked_count=len(result.request.workers),
             approved_count=len(approvals.approved) if approvals else None,
         )
 
@@ -298,7 +298,7 @@
             if self._commits.is_dirty(job):
                 continue
             del self.jobs[job.id]
-            self._commits.note_ended(job.id, now_s)
+            self._commits.record_ended(job.id, now_s)
             self._orders.forget_job(job.id)
             self._advice.forget_job(job.id)
 
@@ -319,7 +319,7 @@
             epoch=self._epoch,
             waited_s=round(now_s - run.task.waiting_since_s, 3),
             free_cpu_millicores=worker.free.cpu_millicores if worker else None,
-            list_age_s=age_s(worker, now_s),
+            list_age_s=run_list_age_s(worker, now_s),
         )
 
     def take_orders(self) -> list[Order]:
--- a/src/sycamorecroft/scheduling/service_actor.py
+++ b/src/sycamorecroft/scheduling/service_actor.py
@@ -9,17 +9,17 @@
 from sycamorecroft.clock import Clock
 from sycamorecroft.concurrency import DaemonActor, tell_if_alive
 from sycamorecroft.ownership.committer import CommitOutcome, CommitResult, Committer
-from sycamorecroft.scheduling.advice import AdviceResult, AskAdvice
+from sycamorecroft.scheduling.advice import AdviceResult, AdviceRequest
 from sycamorecroft.scheduling.calls import WorkerCalls
-from sycamorecroft.scheduling.model import WorkerEntry
+from sycamorecroft.scheduling.model import WorkerRegistration
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot, WorkerMarks
 from sycamorecroft.scheduling.scheduler import Scheduler
 from sycamorecroft.scheduling.worker_clock import WorkerClock
 from sycamorecroft.scheduling.worker_link import (
-    EpochRefused,
-    HoldFailed,
-    HoldResult,
-    PaceResult,
+    EpochSuperseded,
+    RenewalFailed,
+    RenewalSucceeded,
+    ThrottleResult,
     StartResult,
     StopResult,
     WorkerLink,
@@ -37,10 +37,10 @@
 
 
 _LINK_MESSAGES = (
-    EpochRefused,
-    HoldFailed,
-    HoldResult,
-    PaceResult,
+    EpochSuperseded,
+    RenewalFailed,
+    RenewalSucceeded,
+    ThrottleResult,
     StartResult,
     StopResult,
     WorkerReplaced,
@@ -53,10 +53,10 @@
     rows: tuple[Row, ...]
 
 
-class WorkersListed(NamedTuple):
+class RegistrationsChanged(NamedTuple):
     """All workers of the service."""
 
-    entries: tuple[WorkerEntry, ...]
+    registrations: tuple[WorkerRegistration, ...]
 
 
 class MarksChanged(NamedTuple):
@@ -84,10 +84,10 @@
 
     clock: Clock
     lease_s: float
-    connect: Callable[[WorkerEntry], WorkerCalls]
+    connect: Callable[[WorkerRegistration], WorkerCalls]
     lease_limit_s: Callable[[], float]
     on_lost: Callable[[str], None]
-    ask_advice: Callable[[AskAdvice, Callable[[AdviceResult], object]], None]
+    request_advice: Callable[[AdviceRequest, Callable[[AdviceResult], object]], None]
 
 
 class ServiceActor(DaemonActor):
@@ -122,7 +122,7 @@
         self._handled_count += 1
         if self.actor_inbox.empty() or self._handled_count >= BATCH_COUNT:
             self._handled_count = 0
-            self._act()
+            self._decide()
         return None
 
     def _apply(self, message: object) -> None:
@@ -137,8 +137,8 @@
             case JobRowsChanged():
                 scheduler.apply_job_rows(message.rows, now_s, self._now_ms())
                 self._is_load_due = True
-            case WorkersListed():
-                scheduler.reports.apply_entries(message.entries, now_s)
+            case RegistrationsChanged():
+                scheduler.reports.apply_registrations(message.registrations, now_s)
             case Tick():
                 scheduler.tick(now_s, self._now_ms())
                 self._is_load_due = True
@@ -155,26 +155,26 @@
     def _apply_link_message(self, message: object, now_s: float) -> None:
         scheduler = self._scheduler
         match message:
-            case HoldResult():
-                scheduler.reports.apply_hold(
+            case RenewalSucceeded():
+                scheduler.reports.apply_renewal(
                     message.worker_id,
                     message.reply,
                     sent_s=message.sent_s,
                     now_s=now_s,
                     lease_end_s=message.lease_end_s,
                 )
-            case HoldFailed():
+            case RenewalFailed():
                 scheduler.reports.extend_lease(message.worker_id, message.lease_end_s)
             case StartResult():
                 scheduler.reports.apply_start(message.run, message.reply, now_s)
-            case PaceResult():
-                scheduler.reports.apply_pace(message.order, message.reply)
+            case ThrottleResult():
+                scheduler.reports.apply_throttle(message.order, message.reply)
             case StopResult():
                 scheduler.reports.apply_stop(message.order, message.reply, now_s)
             case WorkerReplaced():
                 scheduler.reports.replace(message.worker_id, now_s)
-            case EpochRefused():
-                self._lose(f"worker {message.worker_id} has seen a higher epoch")
+            case EpochSuperseded():
+                self._handle_lost_ownership(f"worker {message.worker_id} has seen a higher epoch")
 
     def _now_ms(self) -> int:
         return int(self._clock.now().timestamp() * 1000)
@@ -182,7 +182,7 @@
     def _apply_commit(self, result: CommitResult, now_s: float) -> None:
         self._is_committing = False
         if result.outcome is CommitOutcome.LOST:
-            self._lose("another host has claimed the service")
+            self._handle_lost_ownership("another host has claimed the service")
             return
         self._scheduler.apply_commit(result.commit, now_s)
         for item in result.commit.acknowledgements:
@@ -190,7 +190,7 @@
             if link is not None:
                 link.acknowledge(item.number)
 
-    def _lose(self, reason: str) -> None:
+    def _handle_lost_ownership(self, reason: str) -> None:
         _log.warning("service_lost", service=self._scheduler.service, reason=reason)
         self._close()
         self._context.on_lost(self._scheduler.service)
@@ -203,7 +203,7 @@
             self._committer.close()
         self.actor_ref.stop(block=False)
 
-    def _act(self) -> None:
+    def _decide(self) -> None:
         if self._is_stopped:
             return
         now_s = self._clock.monotonic_s()
@@ -222,26 +222,26 @@
             self._publish(self._scheduler.snapshot(now_s))
 
     def _send(self, order: object) -> None:
-        if isinstance(order, AskAdvice):
-            tell = partial(tell_if_alive, self.actor_ref)
-            self._context.ask_advice(order, tell)
+        if isinstance(order, AdviceRequest):
+            notify = partial(tell_if_alive, self.actor_ref)
+            self._context.request_advice(order, notify)
             return
         link = self._links.get(order.worker_id)
         if link is not None:
-            link.give(order)
+            link.enqueue(order)
 
     def _connect_workers(self) -> None:
         workers = self._scheduler.workers
         for worker_id in [name for name in self._links if name not in workers]:
             self._links.pop(worker_id).close()
         for worker_id, worker in workers.items():
-            if worker_id not in self._links and worker.entry.address:
-                self._links[worker_id] = self._open(worker.entry)
+            if worker_id not in self._links and worker.registration.address:
+                self._links[worker_id] = self._open(worker.registration)
 
-    def _open(self, entry: WorkerEntry) -> WorkerLink:
+    def _open(self, registration: WorkerRegistration) -> WorkerLink:
         link = WorkerLink(
-            entry.worker_id,
-            self._context.connect(entry),
+            registration.worker_id,
+            self._context.connect(registration),
             WorkerClock(self._context.lease_s),
             self._clock,
             partial(tell_if_alive, self.actor_ref),
--- a/src/sycamorecroft/scheduling/task_placer.py
+++ b/src/sycamorecroft/scheduling/task_placer.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
-from sycamorecroft.scheduling.advice import AdviceBook, StepId
+from sycamorecroft.scheduling.advice import ApprovalCache, StepId
 from sycamorecroft.scheduling.jobs import Job, Run, RunPhase, Task
-from sycamorecroft.scheduling.order import job_rank
-from sycamorecroft.scheduling.orders import OrderBook
+from sycamorecroft.scheduling.job_ranking import job_rank
+from sycamorecroft.scheduling.orders import OrderQueue
 from sycamorecroft.scheduling.placement import choose_worker
 from sycamorecroft.scheduling.rows import JobState
 from sycamorecroft.scheduling.workers import Worker
@@ -24,8 +24,8 @@
     def __init__(
         self,
         workers: Mapping[str, Worker],
-        advice: AdviceBook,
-        orders: OrderBook,
+        advice: ApprovalCache,
+        orders: OrderQueue,
         on_assigned: Callable[[Job], None],
         is_commit_full: Callable[[], bool],
     ) -> None:
@@ -44,7 +44,7 @@
 
         :returns: whether tasks were left since the next commit has no room for them.
         """
-        workers = [w for w in self._workers.values() if w.takes_tasks(now_s)]
+        workers = [w for w in self._workers.values() if w.accepts_tasks(now_s)]
         if not workers:
             return False
         waiting = [job for job in jobs if job.is_active]
@@ -60,7 +60,7 @@
         self, tasks: Sequence[Task], workers: Sequence[Worker], now_s: float
     ) -> None:
         if not tasks[0].spec.is_long_running:
-            workers = [w for w in workers if not w.is_held_for_move]
+            workers = [w for w in workers if not w.is_evacuation_target]
         if tasks[0].job.queue.advice is not None:
             workers = self._approved_workers(tasks, workers, now_s)
         if tasks[0].spec.is_gang:
@@ -86,9 +86,9 @@
         others = [w for w in others if choose_worker((w,), waiting[0], now_s)]
         others.sort(key=lambda worker: -worker.free.cpu_millicores)
         names = [worker.id for worker in others]
-        question = self._advice.question(step_of(tasks[0]), names, now_s)
-        if question is not None:
-            self._orders.add(question)
+        request = self._advice.request(step_of(tasks[0]), names, now_s)
+        if request is not None:
+            self._orders.add(request)
         return approved
 
     def ticket(self, task: Task, worker_id: str, now_s: float) -> str:
@@ -99,8 +99,8 @@
         if task.job.queue.advice is None:
             return ""
         worker = self._workers.get(worker_id)
-        born_ms = worker.born_ms if worker else 0
-        return self._advice.ticket(step_of(task), worker_id, born_ms, now_s)
+        incarnation_ms = worker.incarnation_ms if worker else 0
+        return self._advice.ticket(step_of(task), worker_id, incarnation_ms, now_s)
 
     def _place_gang(
         self, tasks: Sequence[Task], workers: Sequence[Worker], now_s: float
@@ -130,10 +130,10 @@
         run = Run(
             task,
             worker.id,
-            worker.born_ms,
+            worker.incarnation_ms,
             RunPhase.COMMITTING,
             now_s,
-            rack=worker.entry.rack,
+            rack=worker.registration.rack,
         )
         task.run = run
         worker.add(run)
--- a/src/sycamorecroft/scheduling/tests/test_evacuation.py
+++ b/src/sycamorecroft/scheduling/tests/test_evacuation.py
@@ -6,7 +6,7 @@
     queue_of,
     step_of,
 )
-from sycamorecroft.scheduling.calls import RunEnd
+from sycamorecroft.scheduling.calls import RunOutcome
 from sycamorecroft.scheduling.pool_snapshot import WorkerMarks
 
 
@@ -17,7 +17,7 @@
     site.submit(
         "j1", step_of(1, is_long_running=True), queue=queue_of(attempts_count=1)
     )
-    for how in (RunEnd.FAILED, RunEnd.DONE, RunEnd.LAPSED):
+    for how in (RunOutcome.FAILED, RunOutcome.DONE, RunOutcome.EXPIRED):
         owner.steps(3)
         for worker in site.workers.values():
             worker.end_all(how)
@@ -45,7 +45,7 @@
     owner = ServiceDriver(site, 1)
     site.submit(
         "j1",
-        step_of(2, is_long_running=True, tasks_per_worker_limit=1, may_miss_count=1),
+        step_of(2, is_long_running=True, tasks_per_worker_limit=1, max_unavailable_count=1),
     )
     owner.steps(4)
     busy = frozenset(n for n, w in site.workers.items() if w.running)
@@ -76,7 +76,7 @@
         running = site.workers[other].running
         short = next((name for name in running if name.startswith("j2")), None)
         if short is not None:
-            site.workers[other].end(short, RunEnd.DONE)
+            site.workers[other].end(short, RunOutcome.DONE)
         # The end is handled, and its room used, before time is looked at.
         owner._list_runs()
         owner.scheduler.place(site.clock.monotonic_s())
--- a/src/sycamorecroft/scheduling/tests/test_placement.py
+++ b/src/sycamorecroft/scheduling/tests/test_placement.py
@@ -5,7 +5,7 @@
 from standins.service_driver import ServiceDriver, Site, entry_of, queue_of, step_of
 from sycamorecroft.scheduling.jobs import Job
 from sycamorecroft.scheduling.model import JobSpec
-from sycamorecroft.scheduling.order import job_rank, objective_end_s
+from sycamorecroft.scheduling.job_ranking import job_rank, objective_end_s
 from sycamorecroft.scheduling.rows import JobRow
 
 
@@ -110,7 +110,7 @@
     """Guards against a job that is given up shortly before its end."""
     job = _job("j", accepted_ms=98_500)
     fresh = _job("fresh", accepted_ms=99_900)
-    job.begin_due_occurrences(100.0, 100_000)
+    job.start_due_occurrences(100.0, 100_000)
     for task in job.tasks.values():
         task.is_done = True
     assert job_rank(job, 100.0) < job_rank(fresh, 100.0)
--- a/src/sycamorecroft/scheduling/tests/test_scheduler.py
+++ b/src/sycamorecroft/scheduling/tests/test_scheduler.py
@@ -9,8 +9,8 @@
     queue_of,
     step_of,
 )
-from sycamorecroft.scheduling.calls import RunEnd
-from sycamorecroft.scheduling.model import Advice
+from sycamorecroft.scheduling.calls import RunOutcome
+from sycamorecroft.scheduling.model import AdviceTimes
 from sycamorecroft.scheduling.rows import JobState
 
 
@@ -23,7 +23,7 @@
     running = {name for w in site.workers.values() for name in w.running}
     assert running == {"j1.0.0.0", "j1.0.0.1"}
     next(w for w in site.workers.values() if "j1.0.0.0" in w.running).end(
-        "j1.0.0.0", RunEnd.DONE
+        "j1.0.0.0", RunOutcome.DONE
     )
     owner.steps(3)
     assert site.started_count("j1.0.1.0") == 0
@@ -160,7 +160,7 @@
     for _ in range(4):
         owner.steps(3)
         for worker in site.workers.values():
-            worker.end_all(RunEnd.FAILED)
+            worker.end_all(RunOutcome.FAILED)
     owner.steps(3)
     assert site.started_count("j1.0.0.0") == 2
     assert site.state("j1") is JobState.FAILED
@@ -200,7 +200,7 @@
     owner.steps(3)
     worker = site.workers["w0"]
     worker.running.clear()
-    worker.born_ms = 2
+    worker.incarnation_ms = 2
     worker.acknowledged = 0
     owner.steps(3)
     assert site.started_count("j1.0.0.0") == 2
@@ -228,7 +228,7 @@
         site.submit(f"j{number}", step_of(1), queue=queue_of(attempts_count=9))
     owner.steps(3)
     for _ in range(3):
-        site.workers["w0"].end_all(RunEnd.FAILED)
+        site.workers["w0"].end_all(RunOutcome.FAILED)
         owner.steps(2)
     assert not site.workers["w0"].running
     assert len(site.workers["w1"].running) == 4
@@ -241,7 +241,7 @@
     site.submit("j1", step_of(1), queue=queue_of(attempts_count=2))
     owner.steps(3)
     first = next(n for n, w in site.workers.items() if w.running)
-    site.workers[first].end_all(RunEnd.FAILED)
+    site.workers[first].end_all(RunOutcome.FAILED)
     owner.steps(3)
     assert not site.workers[first].running
     assert sum(len(w.running) for w in site.workers.values()) == 1
@@ -255,7 +255,7 @@
     owner.steps(3)
     site.submit("j1", step_of(1, 8000), queue=queue_of(attempts_count=2))
     owner.steps(3)
-    site.workers["w0"].end("j1.0.0.0", RunEnd.FAILED)
+    site.workers["w0"].end("j1.0.0.0", RunOutcome.FAILED)
     owner.steps(2)
     assert not site.workers["w0"].running
     site.workers["w1"].end_all()
@@ -295,7 +295,7 @@
     site = Site(workers_count=3)
     owner = ServiceDriver(site, 1)
     owner.approved_workers = {"w1"}
-    advised = queue_of()._replace(advice=Advice(10, 1, 3000))
+    advised = queue_of()._replace(advice=AdviceTimes(10, 1, 3000))
     site.submit("j1", step_of(3), queue=advised)
     owner.steps(4)
     assert len(site.workers["w1"].running) == 3
@@ -308,10 +308,10 @@
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     owner.approved_workers = {"w1"}
-    advised = queue_of(attempts_count=9)._replace(advice=Advice(10, 1, 3000))
+    advised = queue_of(attempts_count=9)._replace(advice=AdviceTimes(10, 1, 3000))
     site.submit("j1", step_of(1), queue=advised)
     owner.steps(20)
-    site.workers["w1"].end_all(RunEnd.FAILED)
+    site.workers["w1"].end_all(RunOutcome.FAILED)
     owner.steps(4)
     assert len(site.workers["w1"].running) == 1
     assert [q.workers for q in owner.questions[1:]] == [("w1",)]
--- a/src/sycamorecroft/scheduling/tests/test_pacing.py
+++ b/src/sycamorecroft/scheduling/tests/test_throttling.py
@@ -13,7 +13,7 @@
 def site():
     found = Site(workers_count=1)
     found.submit("j1", step_of(1, is_long_running=True, goal_ms=GOAL_MS))
-    found.submit("j2", step_of(1, is_long_running=True, fills=True))
+    found.submit("j2", step_of(1, is_long_running=True, is_best_effort=True))
     return found
 
 
--- a/src/sycamorecroft/scheduling/pacing.py
+++ b/src/sycamorecroft/scheduling/throttling.py
@@ -13,23 +13,23 @@
 
 FULL_PERCENT = 100
 # Below this share a filling task is paused: four steps lead there from full speed.
-LEAST_PERCENT = 10
+MIN_PERCENT = 10
 RAISE_PERCENT = 20
 # A change shows in the response times of the last half second, told once a second.
 LOWER_INTERVAL_S = 0.8
 RAISE_INTERVAL_S = 2.0
 # Shares are raised only while response times are below this part of their goal.
-CALM_RATIO = 0.7
+RAISE_BELOW_GOAL_RATIO = 0.7
 
 
-class Pace(NamedTuple):
+class Throttle(NamedTuple):
     """Share of a worker's capacity that a run may use from now on."""
 
     run: Run
     percent: int
 
 
-def plan_paces(workers: Iterable[Worker], now_s: float) -> Iterator[Pace]:
+def plan_throttles(workers: Iterable[Worker], now_s: float) -> Iterator[Throttle]:
     """
     :returns: runs whose share changes now.
     """
@@ -38,30 +38,30 @@
             yield from _plan_worker(worker, now_s)
 
 
-def _plan_worker(worker: Worker, now_s: float) -> Iterator[Pace]:
+def _plan_worker(worker: Worker, now_s: float) -> Iterator[Throttle]:
     running = [r for r in worker.runs.values() if r.phase is RunPhase.RUNNING]
-    filling = [run for run in running if run.task.spec.fills]
-    if not filling:
+    best_effort_runs = [run for run in running if run.task.spec.is_best_effort]
+    if not best_effort_runs:
         return
-    load = max((_goal_ratio(run) for run in running), default=0.0)
-    silent_s = now_s - worker.paced_s
-    slowest = min(_known_percent(run) for run in filling)
-    if load > 1.0:
-        wanted = slowest // 2 if slowest // 2 >= LEAST_PERCENT else 0
-        is_due = silent_s >= LOWER_INTERVAL_S
+    peak_goal_ratio = max((_goal_ratio(run) for run in running), default=0.0)
+    since_change_s = now_s - worker.throttled_s
+    least_percent = min(_known_percent(run) for run in best_effort_runs)
+    if peak_goal_ratio > 1.0:
+        new_percent = least_percent // 2 if least_percent // 2 >= MIN_PERCENT else 0
+        is_due = since_change_s >= LOWER_INTERVAL_S
     else:
-        wanted = min(FULL_PERCENT, slowest + RAISE_PERCENT)
-        is_due = silent_s >= RAISE_INTERVAL_S and load < CALM_RATIO
-    changed = [run for run in filling if run.pace_percent != wanted]
+        new_percent = min(FULL_PERCENT, least_percent + RAISE_PERCENT)
+        is_due = since_change_s >= RAISE_INTERVAL_S and peak_goal_ratio < RAISE_BELOW_GOAL_RATIO
+    changed = [run for run in best_effort_runs if run.share_percent != new_percent]
     if not is_due or not changed:
         return
-    worker.paced_s = now_s
+    worker.throttled_s = now_s
     for run in changed:
-        yield Pace(run, wanted)
+        yield Throttle(run, new_percent)
 
 
 def _known_percent(run: Run) -> int:
-    return FULL_PERCENT if run.pace_percent is None else run.pace_percent
+    return FULL_PERCENT if run.share_percent is None else run.share_percent
 
 
 def _goal_ratio(run: Run) -> float:
@@ -69,6 +69,6 @@
     :returns: response times of a serving task against their goal; 0 for other tasks.
     """
     spec = run.task.spec
-    if spec.fills or not spec.goal_ms:
+    if spec.is_best_effort or not spec.goal_ms:
         return 0.0
     return run.gauge / spec.goal_ms
--- a/src/sycamorecroft/scheduling/worker_link.py
+++ b/src/sycamorecroft/scheduling/worker_link.py
@@ -18,36 +18,36 @@
     WorkerReplacedError,
 )
 from sycamorecroft.scheduling.calls import (
-    HoldReply,
+    RenewalReply,
     OrderReply,
     OrderStatus,
     StartOrder,
     WorkerCalls,
 )
 from sycamorecroft.scheduling.jobs import Run
-from sycamorecroft.scheduling.orders import PaceTask, StartTask, StopTask
+from sycamorecroft.scheduling.orders import ThrottleTask, StartTask, StopTask
 from sycamorecroft.scheduling.worker_clock import WorkerClock
 
 _log = structlog.get_logger(__name__)
 
-HOLD_WAIT_MS = 1000
+RUN_LIST_WAIT_MS = 1000
 RETRY_MIN_S = 0.1
 RETRY_MAX_S = 1.0
 # How long the next list of runs waits for the ends of the last one to be stored.
 ACKNOWLEDGE_WAIT_S = 1.0
 
 
-class HoldResult(NamedTuple):
+class RenewalSucceeded(NamedTuple):
     """Answer to a list of runs; times are of the owner's clock."""
 
     worker_id: str
-    reply: HoldReply
+    reply: RenewalReply
     sent_s: float
     received_s: float
     lease_end_s: float
 
 
-class HoldFailed(NamedTuple):
+class RenewalFailed(NamedTuple):
     """A worker gave no list of runs."""
 
     worker_id: str
@@ -60,7 +60,7 @@
     worker_id: str
 
 
-class EpochRefused(NamedTuple):
+class EpochSuperseded(NamedTuple):
     """A worker has seen a higher epoch."""
 
     worker_id: str
@@ -80,14 +80,14 @@
     reply: OrderReply
 
 
-class PaceResult(NamedTuple):
+class ThrottleResult(NamedTuple):
     """Outcome of an order to limit a run's share."""
 
-    order: PaceTask
+    order: ThrottleTask
     reply: OrderReply
 
 
-Tell = Callable[[object], None]
+Notify = Callable[[object], None]
 
 
 class WorkerLink:
@@ -99,7 +99,7 @@
         calls: WorkerCalls,
         worker_clock: WorkerClock,
         clock: Clock,
-        tell: Tell,
+        notify: Notify,
         lease_limit_s: Callable[[], float],
     ) -> None:
         """
@@ -109,9 +109,9 @@
         self._calls = calls
         self._worker_clock = worker_clock
         self._clock = clock
-        self._tell = tell
+        self._notify = notify
         self._lease_limit_s = lease_limit_s
-        self._orders: queue.SimpleQueue[StartTask | StopTask | PaceTask | None] = (
+        self._orders: queue.SimpleQueue[StartTask | StopTask | ThrottleTask | None] = (
             queue.SimpleQueue()
         )
         self._acknowledged = 0
@@ -121,7 +121,7 @@
 
     def start(self) -> None:
         """Starts the threads."""
-        for action in (self._hold_runs, self._give_orders):
+        for action in (self._renew_leases_repeatedly, self._send_orders):
             threading.Thread(target=action, name="worker-link", daemon=True).start()
 
     def close(self) -> None:
@@ -130,7 +130,7 @@
         self._acknowledge.set()
         self._orders.put(None)
 
-    def give(self, order: StartTask | StopTask | PaceTask) -> None:
+    def enqueue(self, order: StartTask | StopTask | ThrottleTask) -> None:
         """Queues an order."""
         self._orders.put(order)
 
@@ -139,54 +139,54 @@
         self._acknowledged = number
         self._acknowledge.set()
 
-    def _hold_runs(self) -> None:
+    def _renew_leases_repeatedly(self) -> None:
         retry_s = RETRY_MIN_S
         wait_ms = 0
         while not self._closed.is_set():
-            result = self._hold(wait_ms)
+            result = self._renew_leases(wait_ms)
             if result is None:
                 self._closed.wait(retry_s)
                 retry_s = min(RETRY_MAX_S, retry_s * 2)
                 continue
             retry_s = RETRY_MIN_S
             # The first list tells the worker's clock; the next one gives the lease.
-            wait_ms = HOLD_WAIT_MS if self._worker_clock.deadline_ms else 0
+            wait_ms = RUN_LIST_WAIT_MS if self._worker_clock.deadline_ms else 0
             if result.finished:
                 self._acknowledge.wait(ACKNOWLEDGE_WAIT_S)
 
-    def _hold(self, wait_ms: int) -> HoldReply | None:
+    def _renew_leases(self, wait_ms: int) -> RenewalReply | None:
         sent_s = self._clock.monotonic_s()
         deadline_ms = self._worker_clock.extend(sent_s, self._lease_limit_s())
         self._acknowledge.clear()
         try:
-            reply = self._calls.hold(
+            reply = self._calls.renew_leases(
                 acknowledged=self._acknowledged,
                 deadline_ms=deadline_ms,
                 wait_ms=wait_ms,
             )
         except WorkerCallError as error:
             _log.debug("hold_failed", worker=self.worker_id, error=str(error))
-            self._tell(HoldFailed(self.worker_id, self._worker_clock.lease_end_s()))
+            self._notify(RenewalFailed(self.worker_id, self._worker_clock.lease_end_s()))
             return None
         except WorkerReplacedError:
-            self._tell(WorkerReplaced(self.worker_id))
+            self._notify(WorkerReplaced(self.worker_id))
             return None
         except StaleEpochError:
-            self._tell(EpochRefused(self.worker_id))
+            self._notify(EpochSuperseded(self.worker_id))
             return None
         received_s = self._clock.monotonic_s()
-        if reply.born_ms > self._born_ms:
+        if reply.incarnation_ms > self._born_ms:
             # A worker that started again counts its ends and its clock anew.
-            self._born_ms = reply.born_ms
+            self._born_ms = reply.incarnation_ms
             self._acknowledged = 0
             self._worker_clock.restart()
         self._worker_clock.observe(reply.clock_ms, received_s)
         self._worker_clock.record_answer()
         lease_end_s = self._worker_clock.lease_end_s()
-        self._tell(HoldResult(self.worker_id, reply, sent_s, received_s, lease_end_s))
+        self._notify(RenewalSucceeded(self.worker_id, reply, sent_s, received_s, lease_end_s))
         return reply
 
-    def _give_orders(self) -> None:
+    def _send_orders(self) -> None:
         while True:
             order = self._orders.get()
             if order is None or self._closed.is_set():
@@ -194,14 +194,14 @@
                 return
             if isinstance(order, StartTask):
                 self._start_run(order)
-            elif isinstance(order, PaceTask):
+            elif isinstance(order, ThrottleTask):
                 run = order.run
                 name = run.task.id.name
-                reply = self._calls.pace(name, run.attempt, order.percent)
-                self._tell(PaceResult(order, reply))
+                reply = self._calls.throttle(name, run.attempt, order.percent)
+                self._notify(ThrottleResult(order, reply))
             else:
                 reply = self._calls.stop(order.task, order.attempt)
-                self._tell(StopResult(order, reply))
+                self._notify(StopResult(order, reply))
 
     def _start_run(self, start: StartTask) -> None:
         run = start.run
@@ -219,4 +219,4 @@
                 ticket=start.ticket,
             )
             reply = self._calls.start(order)
-        self._tell(StartResult(run, reply))
+        self._notify(StartResult(run, reply))
--- a/src/sycamorecroft/scheduling/worker_reports.py
+++ b/src/sycamorecroft/scheduling/worker_reports.py
@@ -6,23 +6,23 @@
 
 from sycamorecroft.metrics import START_RETRIES, START_TIME
 from sycamorecroft.recorder import Recorder
-from sycamorecroft.scheduling.advice import AdviceBook
+from sycamorecroft.scheduling.advice import ApprovalCache
 from sycamorecroft.scheduling.calls import (
     FinishedRun,
-    HoldReply,
+    RenewalReply,
     OrderReply,
     OrderStatus,
-    RunEnd,
+    RunOutcome,
     RunningTask,
 )
 from sycamorecroft.scheduling.commit_queue import CommitQueue
 from sycamorecroft.scheduling.jobs import Run, RunPhase
-from sycamorecroft.scheduling.model import WorkerEntry
-from sycamorecroft.scheduling.orders import OrderBook, PaceTask, StopTask
+from sycamorecroft.scheduling.model import WorkerRegistration
+from sycamorecroft.scheduling.orders import OrderQueue, ThrottleTask, StopTask
 from sycamorecroft.scheduling.pool_snapshot import WorkerMarks
-from sycamorecroft.scheduling.run_book import RunBook
+from sycamorecroft.scheduling.run_tracker import RunTracker
 from sycamorecroft.scheduling.task_placer import step_of
-from sycamorecroft.scheduling.worker_watch import note_heard, note_silent
+from sycamorecroft.scheduling.worker_health import record_contact_restored, record_contact_lost
 from sycamorecroft.scheduling.workers import Worker
 
 _log = structlog.get_logger(__name__)
@@ -39,14 +39,14 @@
         self,
         service: str,
         workers: dict[str, Worker],
-        runs: RunBook,
-        orders: OrderBook,
+        runs: RunTracker,
+        orders: OrderQueue,
         commits: CommitQueue,
-        advice: AdviceBook,
+        advice: ApprovalCache,
         recorder: Recorder,
         *,
         former_lease_end_s: float,
-        on_room: Callable[[], None],
+        on_capacity_freed: Callable[[], None],
     ) -> None:
         """
         :param former_lease_end_s: time by which leases of former owners have ended.
@@ -60,39 +60,39 @@
         self._advice = advice
         self._recorder = recorder
         self._former_lease_end_s = former_lease_end_s
-        self._on_room = on_room
+        self._on_capacity_freed = on_capacity_freed
         self._marks = WorkerMarks()
         self.marks_version = 0
 
-    def apply_entries(self, entries: Iterable[WorkerEntry], now_s: float) -> None:
+    def apply_registrations(self, registrations: Iterable[WorkerRegistration], now_s: float) -> None:
         """Takes in the list of the service's workers."""
-        listed = {entry.worker_id: entry for entry in entries}
-        for worker_id, entry in listed.items():
-            self._apply_entry(worker_id, entry, now_s)
+        listed = {registration.worker_id: registration for registration in registrations}
+        for worker_id, registration in listed.items():
+            self._apply_registration(worker_id, registration, now_s)
         for worker in list(self._workers.values()):
-            if worker.id not in listed and worker.is_listed:
-                worker.is_listed = False
+            if worker.id not in listed and worker.is_registered:
+                worker.is_registered = False
                 _log.info("worker_unlisted", worker=worker.id, service=self._service)
 
-    def _apply_entry(self, worker_id: str, entry: WorkerEntry, now_s: float) -> None:
+    def _apply_registration(self, worker_id: str, registration: WorkerRegistration, now_s: float) -> None:
         worker = self._workers.get(worker_id)
         if worker is None:
-            worker = Worker(entry, self._former_lease_end_s, now_s)
+            worker = Worker(registration, self._former_lease_end_s, now_s)
             self._apply_marks(worker)
             self._workers[worker_id] = worker
-            self._on_room()
+            self._on_capacity_freed()
             _log.info(
                 "worker_listed",
                 worker=worker_id,
-                machine=entry.machine,
+                machine=registration.host,
                 service=self._service,
             )
-        if entry.born_ms > worker.born_ms:
-            self._restart(worker, entry.born_ms, now_s)
-        if entry.is_draining and not worker.entry.is_draining:
+        if registration.incarnation_ms > worker.incarnation_ms:
+            self._restart(worker, registration.incarnation_ms, now_s)
+        if registration.is_draining and not worker.registration.is_draining:
             _log.info("worker_draining", worker=worker_id, runs=len(worker.runs))
-        worker.entry = entry
-        worker.is_listed = True
+        worker.registration = registration
+        worker.is_registered = True
 
     def apply_marks(self, marks: WorkerMarks, version: int = 0) -> None:
         """Takes in which workers planned work concerns.
@@ -103,24 +103,24 @@
         self.marks_version = version
         for worker in self._workers.values():
             self._apply_marks(worker)
-        self._on_room()
+        self._on_capacity_freed()
 
     def _apply_marks(self, worker: Worker) -> None:
         worker.is_reserved = worker.id in self._marks.reserved
         worker.is_due = worker.id in self._marks.due
 
-    def _restart(self, worker: Worker, born_ms: int, now_s: float) -> None:
+    def _restart(self, worker: Worker, incarnation_ms: int, now_s: float) -> None:
         """A worker that started again knows nothing of the runs of before."""
-        _log.info("worker_restarted", worker=worker.id, born_ms=born_ms)
-        worker.born_ms = born_ms
-        worker.processed_end = 0
+        _log.info("worker_restarted", worker=worker.id, born_ms=incarnation_ms)
+        worker.incarnation_ms = incarnation_ms
+        worker.last_processed_number = 0
         self._commits.forget_acknowledgement(worker.id)
         former = [
             run
             for run in worker.runs.values()
-            if run.born_ms < born_ms and run.phase is not RunPhase.COMMITTING
+            if run.incarnation_ms < incarnation_ms and run.phase is not RunPhase.COMMITTING
         ]
-        self._runs.lapse(former, now_s)
+        self._runs.expire_runs(former, now_s)
 
     def replace(self, worker_id: str, now_s: float) -> None:
         """Another worker answers at the address: the former one has ended."""
@@ -130,12 +130,12 @@
         started = [
             run for run in worker.runs.values() if run.phase is not RunPhase.COMMITTING
         ]
-        self._runs.lapse(started, now_s)
+        self._runs.expire_runs(started, now_s)
 
-    def apply_hold(
+    def apply_renewal(
         self,
         worker_id: str,
-        reply: HoldReply,
+        reply: RenewalReply,
         *,
         sent_s: float,
         now_s: float,
@@ -147,15 +147,15 @@
         :param lease_end_s: time by which the worker ends all runs if not reached.
         """
         worker = self._workers.get(worker_id)
-        if worker is None or (reply.born_ms and reply.born_ms < worker.born_ms):
+        if worker is None or (reply.incarnation_ms and reply.incarnation_ms < worker.incarnation_ms):
             return
-        if reply.born_ms > worker.born_ms:
-            self._restart(worker, reply.born_ms, now_s)
+        if reply.incarnation_ms > worker.incarnation_ms:
+            self._restart(worker, reply.incarnation_ms, now_s)
         if not worker.is_in_contact(now_s):
-            self._on_room()
-            note_heard(worker, now_s)
-        worker.heard_s = now_s
-        worker.is_silent = False
+            self._on_capacity_freed()
+            record_contact_restored(worker, now_s)
+        worker.last_contact_s = now_s
+        worker.is_contact_lost = False
         worker.lease_end_s = max(worker.lease_end_s, lease_end_s)
         for finished in reply.finished:
             self._apply_finished(worker, finished, now_s)
@@ -168,14 +168,14 @@
     def _apply_finished(
         self, worker: Worker, finished: FinishedRun, now_s: float
     ) -> None:
-        if finished.number <= worker.processed_end:
+        if finished.number <= worker.last_processed_number:
             return
-        worker.processed_end = finished.number
+        worker.last_processed_number = finished.number
         self._commits.acknowledge(worker.id, finished.number)
         run = worker.runs.get(finished.task)
         if run is None or run.attempt != finished.attempt:
             return
-        self._runs.end(run, RunEnd(finished.end), finished.checkpoint, now_s)
+        self._runs.finish_run(run, RunOutcome(finished.outcome), finished.checkpoint, now_s)
 
     def _apply_running(
         self, worker: Worker, running: RunningTask, now_s: float
@@ -206,11 +206,11 @@
         absent = [
             run
             for name, run in worker.runs.items()
-            if run.settled_s is not None
-            and run.settled_s < sent_s
+            if run.confirmed_s is not None
+            and run.confirmed_s < sent_s
             and name not in listed
         ]
-        self._runs.lapse(absent, now_s)
+        self._runs.expire_runs(absent, now_s)
 
     def extend_lease(self, worker_id: str, lease_end_s: float) -> None:
         """A list without an answer may have extended the worker's lease."""
@@ -225,16 +225,16 @@
                 self._check_contact(worker, now_s)
 
     def _check_contact(self, worker: Worker, now_s: float) -> None:
-        note_silent(worker, now_s)
+        record_contact_lost(worker, now_s)
         # A worker that wasn't asked yet may list ends of runs whose leases are over.
-        if now_s >= worker.lease_end_s and not worker.is_expected(now_s):
+        if now_s >= worker.lease_end_s and not worker.is_presumed_reachable(now_s):
             over = [
                 run
                 for run in worker.runs.values()
                 if run.phase in (RunPhase.RUNNING, RunPhase.STOPPING)
             ]
-            self._runs.lapse(over, now_s)
-        if not worker.is_listed and not worker.runs:
+            self._runs.expire_runs(over, now_s)
+        if not worker.is_registered and not worker.runs:
             del self._workers[worker.id]
             _log.info("worker_forgotten", worker=worker.id, service=self._service)
 
@@ -242,11 +242,11 @@
         """Takes in the outcome of an order to start."""
         if run.task.run is not run or run.phase is not RunPhase.STARTING:
             if reply.status is OrderStatus.DONE and run.task.run is run:
-                run.settled_s = run.settled_s or now_s
+                run.confirmed_s = run.confirmed_s or now_s
             return
         if reply.status is OrderStatus.DONE:
             run.phase = RunPhase.RUNNING
-            run.settled_s = now_s
+            run.confirmed_s = now_s
             waited_s = now_s - run.task.waiting_since_s
             self._recorder.record(START_TIME, waited_s, service=self._service)
             return
@@ -265,7 +265,7 @@
             reason=reply.reason,
         )
         if reply.status is OrderStatus.UNKNOWN:
-            self._runs.stop(run, now_s)
+            self._runs.stop_run(run, now_s)
             return
         if reply.status is OrderStatus.UNHEALTHY:
             worker.quarantine(now_s)
@@ -274,7 +274,7 @@
         elif reply.status is OrderStatus.REJECTED:
             pause_end_s = now_s + REJECTED_PAUSE_S
             worker.quarantined_until_s = max(worker.quarantined_until_s, pause_end_s)
-        self._runs.end(run, RunEnd.STOPPED, "", now_s)
+        self._runs.finish_run(run, RunOutcome.STOPPED, "", now_s)
 
     def apply_stop(self, order: StopTask, reply: OrderReply, now_s: float) -> None:
         """Takes in the outcome of an order to stop."""
@@ -283,15 +283,15 @@
         if run is None or run.attempt != order.attempt:
             return
         if reply.status in (OrderStatus.DONE, OrderStatus.REJECTED):
-            run.settled_s = now_s
+            run.confirmed_s = now_s
 
-    def apply_pace(self, order: PaceTask, reply: OrderReply) -> None:
+    def apply_throttle(self, order: ThrottleTask, reply: OrderReply) -> None:
         """Takes in the outcome of an order to limit a run's share."""
         if reply.status is OrderStatus.DONE:
-            order.run.pace_percent = order.percent
+            order.run.share_percent = order.percent
             return
         # The order may still be carried out, after later ones.
-        order.run.pace_percent = None
+        order.run.share_percent = None
         _log.info(
             "pace_not_confirmed",
             task=order.run.task.id.name,
--- a/src/sycamorecroft/scheduling/workers.py
+++ b/src/sycamorecroft/scheduling/workers.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from sycamorecroft.scheduling.jobs import Run, RunPhase
-from sycamorecroft.scheduling.model import Resources, WorkerEntry
+from sycamorecroft.scheduling.model import Resources, WorkerRegistration
 
 # A worker answers a list of runs at least once in this time, unless something is wrong.
 CONTACT_TIMEOUT_S = 2.5
@@ -23,7 +23,7 @@
 QUARANTINE_MAX_S = 8.0
 
 
-class PlacementUse(NamedTuple):
+class StepKey(NamedTuple):
     """Key of the count of tasks of a step on a worker."""
 
     job_id: str
@@ -41,65 +41,65 @@
     """
 
     def __init__(
-        self, entry: WorkerEntry, lease_end_s: float, listed_s: float = 0.0
+        self, registration: WorkerRegistration, lease_end_s: float, registered_s: float = 0.0
     ) -> None:
-        self.entry = entry
-        self.listed_s = listed_s
-        self.is_listed = True
+        self.registration = registration
+        self.registered_s = registered_s
+        self.is_registered = True
         self.is_reserved = False
         self.is_due = False
-        self.is_held_for_move = False
+        self.is_evacuation_target = False
         self.lease_end_s = lease_end_s
-        self.heard_s: float | None = None
-        self.is_silent = False
-        self.born_ms = entry.born_ms
+        self.last_contact_s: float | None = None
+        self.is_contact_lost = False
+        self.incarnation_ms = registration.incarnation_ms
         self.runs: dict[str, Run] = {}
         self.used = Resources()
         self.long_running_count = 0
-        self.processed_end = 0
-        self._use_counts: dict[PlacementUse, int] = {}
+        self.last_processed_number = 0
+        self._step_task_counts: dict[StepKey, int] = {}
         self._failed_jobs: set[str] = set()
         self._failures_count = 0
         self._quarantines_count = 0
         self.quarantined_until_s = 0.0
         self._time_ratio = 0.0
         self._time_samples_count = 0
-        self.paced_s = 0.0
+        self.throttled_s = 0.0
         self.is_slow = False
-        self.is_held_back = False
+        self.is_stalled = False
 
     @property
     def id(self) -> str:
         """Id under which the worker registered."""
-        return self.entry.worker_id
+        return self.registration.worker_id
 
     @property
     def free(self) -> Resources:
         """Capacity that no run takes."""
-        return self.entry.capacity.minus(self.used)
+        return self.registration.capacity.minus(self.used)
 
     def is_in_contact(self, now_s: float) -> bool:
         """
         :returns: whether the worker answered of late.
         """
-        return self.heard_s is not None and now_s - self.heard_s < CONTACT_TIMEOUT_S
+        return self.last_contact_s is not None and now_s - self.last_contact_s < CONTACT_TIMEOUT_S
 
-    def is_expected(self, now_s: float) -> bool:
+    def is_presumed_reachable(self, now_s: float) -> bool:
         """
         :returns: whether the worker answers, or was listed so lately that it may not
             have been asked yet.
         """
-        if self.heard_s is None:
-            return now_s - self.listed_s < CONTACT_TIMEOUT_S
+        if self.last_contact_s is None:
+            return now_s - self.registered_s < CONTACT_TIMEOUT_S
         return self.is_in_contact(now_s)
 
-    def takes_tasks(self, now_s: float) -> bool:
+    def accepts_tasks(self, now_s: float) -> bool:
         """
         :returns: whether new tasks may be placed on the worker.
         """
         return (
-            self.is_listed
-            and not self.entry.is_draining
+            self.is_registered
+            and not self.registration.is_draining
             and not self.is_reserved
             and now_s >= self.quarantined_until_s
             and self.is_in_contact(now_s)
@@ -109,28 +109,28 @@
         """Counts a run that is assigned to the worker."""
         task = run.task
         self.runs[task.id.name] = run
-        self.used = self.used.plus(task.spec.reserved)
+        self.used = self.used.plus(task.spec.allocation)
         self.long_running_count += task.spec.is_long_running
-        use = _use_of(run)
-        self._use_counts[use] = self._use_counts.get(use, 0) + 1
+        key = _step_key(run)
+        self._step_task_counts[key] = self._step_task_counts.get(key, 0) + 1
 
     def remove(self, run: Run) -> None:
         """Frees what a run took."""
         task = run.task
         if self.runs.pop(task.id.name, None) is None:
             return
-        self.used = self.used.minus(task.spec.reserved)
+        self.used = self.used.minus(task.spec.allocation)
         self.long_running_count -= task.spec.is_long_running
-        use = _use_of(run)
-        self._use_counts[use] -= 1
-        if not self._use_counts[use]:
-            del self._use_counts[use]
+        key = _step_key(run)
+        self._step_task_counts[key] -= 1
+        if not self._step_task_counts[key]:
+            del self._step_task_counts[key]
 
-    def tasks_of_step_count(self, job_id: str, occurrence: int, step: int) -> int:
+    def step_tasks_count(self, job_id: str, occurrence: int, step: int) -> int:
         """
         :returns: tasks of the step that are assigned to the worker.
         """
-        return self._use_counts.get(PlacementUse(job_id, occurrence, step), 0)
+        return self._step_task_counts.get(StepKey(job_id, occurrence, step), 0)
 
     @property
     def failed_jobs_count(self) -> int:
@@ -150,7 +150,7 @@
         self._time_ratio += weight * (ratio - self._time_ratio)
         self._time_samples_count += 1
 
-    def is_stalled(self, now_s: float) -> bool:
+    def has_stalled_run(self, now_s: float) -> bool:
         """
         :returns: whether a task that should advance stands still here.
         """
@@ -192,16 +192,16 @@
         self.quarantined_until_s = now_s + duration_s
 
 
-def mark_slow_workers(workers: Iterable[Worker]) -> None:
+def flag_slow_workers(workers: Iterable[Worker]) -> None:
     """Marks workers that take much longer than the middle one of the pool."""
     known = [worker for worker in workers if worker.time_ratio is not None]
     if not known:
         return
-    middle = median(worker.time_ratio for worker in known)
+    median_ratio = median(worker.time_ratio for worker in known)
     for worker in known:
-        worker.is_slow = worker.time_ratio > SLOW_RATIO * middle
+        worker.is_slow = worker.time_ratio > SLOW_RATIO * median_ratio
 
 
-def _use_of(run: Run) -> PlacementUse:
+def _step_key(run: Run) -> StepKey:
     task_id = run.task.id
-    return PlacementUse(task_id.job_id, task_id.occurrence, task_id.step)
+    return StepKey(task_id.job_id, task_id.occurrence, task_id.step)
--- a/src/sycamorecroft/serving/application.py
+++ b/src/sycamorecroft/serving/application.py
@@ -184,10 +184,10 @@
         """Refuses a job with a task that no machine can ever hold."""
         sizes = self._machine_sizes()
         for number, step in enumerate(spec.steps):
-            if not sizes or any(size.holds(step.reserved) for size in sizes):
+            if not sizes or any(size.covers(step.allocation) for size in sizes):
                 continue
             raise RequestError(
-                f"a task of step {number} needs {step.reserved}, and no machine is as "
+                f"a task of step {number} needs {step.allocation}, and no machine is as "
                 f"large; there are {list(sizes)}: split the task"
             )
 
--- a/src/sycamorecroft/upkeep/controller.py
+++ b/src/sycamorecroft/upkeep/controller.py
@@ -278,7 +278,7 @@
         for worker in pool.snapshot.workers:
             if worker.worker_id != machine.worker_id:
                 continue
-            if worker.is_emptied:
+            if worker.is_drained:
                 return True
             is_overdue = now_s - since_s > EMPTYING_LIMIT_S
             return is_overdue and not worker.long_running_count
--- a/src/sycamorecroft/upkeep/ledger.py
+++ b/src/sycamorecroft/upkeep/ledger.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from sycamorecroft.errors import StoreConflictError
-from sycamorecroft.scheduling.pool_rows import MACHINES_CLAIM
+from sycamorecroft.scheduling.pool_rows import FLEET_CONTROLLER_CLAIM
 from sycamorecroft.scheduling.rows import decode_row, encode_row
 from sycamorecroft.store.interfaces import (
     Check,
@@ -77,7 +77,7 @@
         :param holder: name of this host, which stands in its orders.
         :param owner_check: holds as long as this host owns the machines.
         """
-        self._tables = TablePart(tables, MACHINES_CLAIM)
+        self._tables = TablePart(tables, FLEET_CONTROLLER_CLAIM)
         self._holder = holder
         self._owner_checks = (owner_check,) if owner_check else ()
         self.store_time_ms = 0
--- a/standins/memory_worker.py
+++ b/standins/memory_worker.py
@@ -6,10 +6,10 @@
 from sycamorecroft.errors import StaleEpochError, WorkerCallError
 from sycamorecroft.scheduling.calls import (
     FinishedRun,
-    HoldReply,
+    RenewalReply,
     OrderReply,
     OrderStatus,
-    RunEnd,
+    RunOutcome,
     RunningTask,
     StartOrder,
     WorkerCalls,
@@ -35,9 +35,9 @@
     :ivar paces: share in percent that each task was last limited to.
     """
 
-    def __init__(self, born_ms: int = 1) -> None:
+    def __init__(self, incarnation_ms: int = 1) -> None:
         self.clock_ms = 1000
-        self.born_ms = born_ms
+        self.incarnation_ms = incarnation_ms
         self.epoch = 0
         self.running: dict[str, int] = {}
         self.started: list[StartedRun] = []
@@ -60,7 +60,7 @@
         """
         return MemoryWorkerCalls(self, epoch)
 
-    def end(self, task: str, how: RunEnd, checkpoint: str = "") -> None:
+    def end(self, task: str, how: RunOutcome, checkpoint: str = "") -> None:
         """Ends a run."""
         attempt = self.running.pop(task)
         self._number += 1
@@ -69,7 +69,7 @@
             FinishedRun(self._number, task, attempt, how.value, checkpoint)
         )
 
-    def end_all(self, how: RunEnd = RunEnd.DONE) -> int:
+    def end_all(self, how: RunOutcome = RunOutcome.DONE) -> int:
         """
         :returns: how many runs were ended.
         """
@@ -78,13 +78,13 @@
             self.end(name, how)
         return len(names)
 
-    def list_runs(self, acknowledged: int) -> HoldReply:
+    def list_runs(self, acknowledged: int) -> RenewalReply:
         """
         :returns: runs and ends after the acknowledged one.
         """
         self.acknowledged = max(self.acknowledged, acknowledged)
         for finished in self._finished:
-            if finished.number <= acknowledged and finished.end == RunEnd.DONE:
+            if finished.number <= acknowledged and finished.outcome == RunOutcome.DONE:
                 self.done_s[finished.task] = time.monotonic()
         self._finished = [f for f in self._finished if f.number > acknowledged]
         running = tuple(
@@ -93,8 +93,8 @@
             )
             for task, attempt in self.running.items()
         )
-        return HoldReply(
-            self.clock_ms, self.born_ms, running, tuple(self._finished[:500])
+        return RenewalReply(
+            self.clock_ms, self.incarnation_ms, running, tuple(self._finished[:500])
         )
 
     def start(self, order: StartOrder, epoch: int) -> OrderReply:
@@ -117,10 +117,10 @@
         """
         self._stopped[task] = max(attempt, self._stopped.get(task, 0))
         if self.running.get(task) == attempt:
-            self.end(task, RunEnd.STOPPED)
+            self.end(task, RunOutcome.STOPPED)
         return OrderReply(OrderStatus.DONE, "", self.clock_ms)
 
-    def pace(self, task: str, percent: int) -> OrderReply:
+    def throttle(self, task: str, percent: int) -> OrderReply:
         """
         :returns: outcome of a limit of a task's share.
         """
@@ -135,9 +135,9 @@
         self._worker = worker
         self._epoch = epoch
 
-    def hold(
+    def renew_leases(
         self, *, acknowledged: int, deadline_ms: int | None, wait_ms: int
-    ) -> HoldReply:
+    ) -> RenewalReply:
         worker = self._worker
         if worker.is_cut:
             raise WorkerCallError("no answer", may_have_run=True)
@@ -153,8 +153,8 @@
     def stop(self, task: str, attempt: int) -> OrderReply:
         return self._order(lambda: self._worker.stop(task, attempt))
 
-    def pace(self, task: str, attempt: int, percent: int) -> OrderReply:
-        return self._order(lambda: self._worker.pace(task, percent))
+    def throttle(self, task: str, attempt: int, percent: int) -> OrderReply:
+        return self._order(lambda: self._worker.throttle(task, percent))
 
     def close(self) -> None:
         pass
--- a/standins/platform_http.py
+++ b/standins/platform_http.py
@@ -20,7 +20,7 @@
     StoreOutcomeUnknownError,
     StoreUnavailableError,
 )
-from sycamorecroft.scheduling.calls import OrderStatus, RunEnd, StartOrder
+from sycamorecroft.scheduling.calls import OrderStatus, RunOutcome, StartOrder
 from sycamorecroft.store.interfaces import Check, Put, Row, StorePurpose
 
 HOLD_POLL_S = 0.01
@@ -192,7 +192,7 @@
                 self._end_tasks()
                 self.worker.clock_ms = int(time.monotonic() * 1000)
                 try:
-                    reply = self.worker.calls(body["fence"]).hold(
+                    reply = self.worker.calls(body["fence"]).renew_leases(
                         acknowledged=body["ack-cursor"],
                         deadline_ms=body.get("deadline-ms"),
                         wait_ms=0,
@@ -204,7 +204,7 @@
             time.sleep(HOLD_POLL_S)
         return 200, {
             "clock-ms": reply.clock_ms,
-            "born": reply.born_ms,
+            "born": reply.incarnation_ms,
             "running": [list(row) for row in reply.running],
             "finished": [list(row) for row in reply.finished],
         }
@@ -216,7 +216,7 @@
             self.worker.running.clear()
         for task in list(self.worker.running):
             if now_s - self._started_s.get(task, now_s) > self._task_s:
-                self.worker.end(task, RunEnd.DONE)
+                self.worker.end(task, RunOutcome.DONE)
 
 
 class MachineServer(JsonServer):
--- a/standins/service_driver.py
+++ b/standins/service_driver.py
@@ -10,7 +10,7 @@
     AdviceResult,
     Approval,
     Approvals,
-    AskAdvice,
+    AdviceRequest,
 )
 from sycamorecroft.scheduling.calls import OrderStatus, StartOrder
 from sycamorecroft.scheduling.model import (
@@ -18,9 +18,9 @@
     Queue,
     Resources,
     StepSpec,
-    WorkerEntry,
+    WorkerRegistration,
 )
-from sycamorecroft.scheduling.orders import PaceTask, StartTask, StopTask
+from sycamorecroft.scheduling.orders import ThrottleTask, StartTask, StopTask
 from sycamorecroft.scheduling.rows import (
     CANCEL_SUFFIX,
     CancelRow,
@@ -71,7 +71,7 @@
 
 def entry_of(
     worker_id: str, *, rack: str = "r1", cpu_millicores: int = 8000, **fields
-) -> WorkerEntry:
+) -> WorkerRegistration:
     """
     :returns: entry of a worker.
     """
@@ -79,9 +79,9 @@
         "address": "10.0.0.1:1",
         "data_centre": "dc1",
         "is_draining": False,
-        "born_ms": 1,
+        "incarnation_ms": 1,
     } | fields
-    return WorkerEntry(
+    return WorkerRegistration(
         worker_id,
         SERVICE,
         labels=("a", rack),
@@ -98,7 +98,7 @@
         self.clock.advance(100.0)
         self.tables = MemoryPartitions()
         self.workers: dict[str, MemoryWorker] = {}
-        self.entries: dict[str, WorkerEntry] = {}
+        self.entries: dict[str, WorkerRegistration] = {}
         for number in range(workers_count):
             name = f"w{number}"
             self.workers[name] = MemoryWorker()
@@ -158,7 +158,7 @@
         self.epoch = epoch
         self.is_lost = False
         self.approved_workers: set[str] = set()
-        self.questions: list[AskAdvice] = []
+        self.questions: list[AdviceRequest] = []
         self.tickets: list[str] = []
         self._acknowledged: dict[str, int] = {}
         self._deadlines_ms: dict[str, int] = {}
@@ -170,7 +170,7 @@
         jobs = read_all_parts(site.tables, JOBS, purpose=StorePurpose.JOBS)
         progress = site.tables.scan_part(PROGRESS, SERVICE, purpose=StorePurpose.JOBS)
         self._jobs_version = jobs.version
-        self.scheduler.reports.apply_entries(site.entries.values(), now_s)
+        self.scheduler.reports.apply_registrations(site.entries.values(), now_s)
         self.scheduler.load(jobs.rows, progress.rows, now_s, site.now_ms)
         self.committer = Committer(
             site.tables, claim, site.clock, lambda result: None, lambda sent_s: None
@@ -213,7 +213,7 @@
         self._jobs_version = scan.version
         now_s = self.site.clock.monotonic_s()
         self.scheduler.apply_job_rows(scan.rows, now_s, self.site.now_ms)
-        self.scheduler.reports.apply_entries(self.site.entries.values(), now_s)
+        self.scheduler.reports.apply_registrations(self.site.entries.values(), now_s)
 
     def _list_runs(self) -> None:
         now_s = self.site.clock.monotonic_s()
@@ -222,7 +222,7 @@
                 continue
             deadline_ms = worker.clock_ms + int(LEASE_S * 1000)
             try:
-                reply = worker.calls(self.epoch).hold(
+                reply = worker.calls(self.epoch).renew_leases(
                     acknowledged=self._acknowledged.get(name, 0),
                     deadline_ms=deadline_ms,
                     wait_ms=0,
@@ -233,7 +233,7 @@
                 self.is_lost = True
                 continue
             self._deadlines_ms[name] = deadline_ms
-            self.scheduler.reports.apply_hold(
+            self.scheduler.reports.apply_renewal(
                 name,
                 reply,
                 sent_s=now_s,
@@ -259,8 +259,8 @@
         for order in self.scheduler.take_orders():
             self._send(order)
 
-    def _send(self, order: StartTask | StopTask | PaceTask | AskAdvice) -> None:
-        if isinstance(order, AskAdvice):
+    def _send(self, order: StartTask | StopTask | ThrottleTask | AdviceRequest) -> None:
+        if isinstance(order, AdviceRequest):
             self._answer(order)
             return
         worker = self.site.workers.get(order.worker_id)
@@ -273,9 +273,9 @@
             self.scheduler.reports.apply_stop(order, reply, now_s)
             return
         run = order.run
-        if isinstance(order, PaceTask):
-            reply = calls.pace(run.task.id.name, run.attempt, order.percent)
-            self.scheduler.reports.apply_pace(order, reply)
+        if isinstance(order, ThrottleTask):
+            reply = calls.throttle(run.task.id.name, run.attempt, order.percent)
+            self.scheduler.reports.apply_throttle(order, reply)
             return
         start = StartOrder(
             run.task.id.name,
@@ -290,7 +290,7 @@
         self.tickets.append(order.ticket)
         self.scheduler.reports.apply_start(run, reply, now_s)
 
-    def _answer(self, question: AskAdvice) -> None:
+    def _answer(self, question: AdviceRequest) -> None:
         self.questions.append(question)
         approved = tuple(
             Approval(name, f"ticket-{name}")
