--- a/src/sycamorecroft/platform/tests/test_records.py
+++ b/src/sycamorecroft/platform/tests/test_records.py
@@ -98,7 +98,7 @@
     decoded = decode_job(json.dumps(job | {"interval-ms": 7}).encode())
     found = decoded.steps[0]
     assert found.demand == (500, 256, 1)
-    assert found.reserved.cpu_millicores == 0
+    assert found.allocation.cpu_millicores == 0
     assert (found.is_checkpointed, found.is_gang, found.is_rack_local) == (True,) * 3
     assert (found.required_label, found.preferred_rack) == ("b", "r1")
     assert (found.tasks_per_worker_limit, found.max_unavailable_count) == (2, 1)
--- a/src/sycamorecroft/scheduling/__init__.py
+++ b/src/sycamorecroft/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decides which task of which job runs on which worker of a service."""
+"""Job scheduling: places the tasks of a service's jobs on the service's workers."""
--- a/src/sycamorecroft/scheduling/advice.py
+++ b/src/sycamorecroft/scheduling/advice.py
@@ -1,13 +1,17 @@
-"""Approvals of workers by the service that a queue's policy names."""
+"""Approvals of workers for steps, and the requests for them to the advice service.
+
+Tasks of a queue with advice run only on workers that the advice service has approved
+for their step; each start carries the ticket of its approval.
+"""
 
 from abc import ABC, abstractmethod
 from typing import NamedTuple
 
-# Workers that one call asks about; each adds to its duration.
+# Maximum number of workers in a call; each worker adds to the duration of the call.
 WORKERS_PER_CALL_COUNT = 30
-# A ticket isn't used when less than this is left, since the order takes its time.
+# A ticket with less validity left isn't used, since the order takes time to arrive.
 TICKET_MARGIN_S = 0.3
-RETRY_S = 0.3
+REQUEST_RETRY_S = 0.3
 
 
 class StepId(NamedTuple):
@@ -19,101 +23,112 @@
 
     @property
     def name(self) -> str:
-        """Name by which the advice service knows the step."""
+        """Name of the step in calls to the advice service."""
         return f"{self.job_id}.{self.occurrence}.{self.step}"
 
 
 class Approval(NamedTuple):
-    """A worker that may run a step, with the ticket that its starts carry."""
+    """Approval of a worker for a step, with the ticket that its starts carry."""
 
     worker_id: str
     ticket: str
 
 
 class Approvals(NamedTuple):
-    """Answer of the advice service."""
+    """Answer of the advice service; the tickets are valid for ``valid_s``."""
 
     approved: tuple[Approval, ...]
     valid_s: float
 
 
 class AdviceCalls(ABC):
-    """Calls to the advice service, one at a time."""
+    """Interface for calls to the advice service, which are made one at a time."""
 
     @abstractmethod
     def advise(self, step: str, workers: tuple[str, ...]) -> Approvals:
         """
-        :raises PlatformError: when there was no answer.
+        :param step: name of the step.
+        :param workers: ids of the workers to be approved.
+        :returns: approvals of those workers that may run the step.
+        :raises PlatformError: when the advice service doesn't answer.
         """
 
 
 class AdviceRequest(NamedTuple):
-    """Question which of some workers may run a step."""
+    """Request to approve workers for a step."""
 
     step: StepId
     workers: tuple[str, ...]
 
 
 class AdviceResult(NamedTuple):
-    """Answer to a question; ``approvals`` is ``None`` when there was none."""
+    """Answer to a request; ``approvals`` is ``None`` if the call failed."""
 
     request: AdviceRequest
     approvals: Approvals | None
 
 
 class _Ticket(NamedTuple):
-    ticket: str
+    value: str
     valid_until_s: float
     incarnation_ms: int
 
 
 class ApprovalCache:
-    """Approvals that are known, by step. Not thread-safe.
+    """Caches approvals and refusals by step. Not thread-safe.
 
-    A worker that was refused once isn't asked about again: the answer doesn't change.
+    A worker that was refused for a step isn't requested again, because the answer of
+    the advice service doesn't change.
     """
 
     def __init__(self) -> None:
         self._tickets: dict[StepId, dict[str, _Ticket]] = {}
         self._refused: dict[StepId, set[str]] = {}
-        self._asked_until_s: dict[StepId, float] = {}
+        self._next_request_s: dict[StepId, float] = {}
 
-    def ticket(self, step: StepId, worker_id: str, incarnation_ms: int, now_s: float) -> str:
+    def ticket(
+        self, step: StepId, worker_id: str, incarnation_ms: int, now_s: float
+    ) -> str:
         """
-        :param born_ms: life of the worker; a ticket ends with the life it was for.
-        :returns: a valid ticket, empty if there is none.
+        :param incarnation_ms: incarnation of the worker; a ticket is valid only for the
+            incarnation that it was issued to.
+        :returns: a valid ticket, or an empty string if there is none.
         """
-        known = self._tickets.get(step, {}).get(worker_id)
-        if known is None or known.incarnation_ms != incarnation_ms:
+        ticket = self._tickets.get(step, {}).get(worker_id)
+        if ticket is None or ticket.incarnation_ms != incarnation_ms:
             return ""
-        is_valid = now_s + TICKET_MARGIN_S < known.valid_until_s
-        return known.ticket if is_valid else ""
+        is_valid = now_s + TICKET_MARGIN_S < ticket.valid_until_s
+        return ticket.value if is_valid else ""
 
-    def request(
+    def next_request(
         self, step: StepId, workers: list[str], now_s: float
     ) -> AdviceRequest | None:
         """
-        :param workers: workers with room that have no valid ticket, best first.
-        :returns: what to ask now, ``None`` when a call is on its way or none is left.
+        :param workers: workers with free capacity and no valid ticket, best first.
+        :returns: request to send now, ``None`` if one is in flight or was answered too
+            recently, or if all workers were refused.
         """
-        if now_s < self._asked_until_s.get(step, 0.0):
+        if now_s < self._next_request_s.get(step, 0.0):
             return None
         refused = self._refused.get(step, set())
         asked = [name for name in workers if name not in refused]
         if not asked:
             return None
-        self._asked_until_s[step] = float("inf")
+        self._next_request_s[step] = float("inf")
         return AdviceRequest(step, tuple(asked[:WORKERS_PER_CALL_COUNT]))
 
     def apply(
         self, result: AdviceResult, incarnations_ms: dict[str, int], now_s: float
     ) -> None:
-        """Takes in an answer."""
+        """Applies an answer of the advice service.
+
+        :param incarnations_ms: current incarnation of each worker.
+        """
         step = result.request.step
         if result.approvals is None:
-            self._asked_until_s[step] = now_s + RETRY_S
+            self._next_request_s[step] = now_s + REQUEST_RETRY_S
             return
-        self._asked_until_s[step] = now_s
+        self._next_request_s[step] = now_s
         valid_until_s = now_s + result.approvals.valid_s
         tickets = self._tickets.setdefault(step, {})
         for approval in result.approvals.approved:
@@ -125,12 +140,12 @@
         refused = set(result.request.workers) - approved
         self._refused.setdefault(step, set()).update(refused)
 
-    def forget_ticket(self, step: StepId, worker_id: str) -> None:
-        """Forgets a ticket that a worker didn't take."""
+    def discard_ticket(self, step: StepId, worker_id: str) -> None:
+        """Drops a ticket that a worker has rejected."""
         self._tickets.get(step, {}).pop(worker_id, None)
 
-    def forget_job(self, job_id: str) -> None:
-        """Forgets all steps of a job that has ended."""
-        for known in (self._tickets, self._refused, self._asked_until_s):
-            for step in [step for step in known if step.job_id == job_id]:
-                del known[step]
+    def discard_job(self, job_id: str) -> None:
+        """Drops the approvals and refusals for all steps of a job that has ended."""
+        for by_step in (self._tickets, self._refused, self._next_request_s):
+            for step in [step for step in by_step if step.job_id == job_id]:
+                del by_step[step]
--- a/src/sycamorecroft/scheduling/calls.py
+++ b/src/sycamorecroft/scheduling/calls.py
@@ -1,4 +1,4 @@
-"""Calls to a worker, independent of their transport."""
+"""Interface for calls to a worker, independent of the transport."""
 
 from abc import ABC, abstractmethod
 from enum import StrEnum
@@ -6,10 +6,10 @@
 
 
 class RunOutcome(StrEnum):
-    """How a run ended.
+    """Outcome of a run.
 
-    ``LAPSED``: its lease expired. ``BROKEN``: another member of its gang ended.
-    ``ALONE``: it waited too long for the others of its gang.
+    ``EXPIRED``: its lease expired. ``GANG_BROKEN``: another member of its gang ended.
+    ``GANG_INCOMPLETE``: the other members of its gang didn't start in time.
     """
 
     DONE = "done"
@@ -23,9 +23,9 @@
 class RunningTask(NamedTuple):
     """A run in progress.
 
-    ``progress_percent`` is 100 for a long-running task that is at work. ``gauge`` is
-    the tail of the response times in milliseconds of a task that serves, and the
-    processor use of any other task.
+    ``progress_percent`` is 100 for a long-running task that is ready. ``gauge`` is the
+    tail latency in milliseconds of a serving task, and the processor use of any other
+    task.
     """
 
     task: str
@@ -36,7 +36,7 @@
 
 
 class FinishedRun(NamedTuple):
-    """The end of a run; ``number`` rises within one life of a worker."""
+    """A finished run; ``number`` increases within one incarnation of a worker."""
 
     number: int
     task: str
@@ -46,7 +46,10 @@
 
 
 class RenewalReply(NamedTuple):
-    """Runs of a worker; ``clock_ms`` is the worker's steady clock."""
+    """Run list of a worker, returned when the leases of its runs are renewed.
+
+    ``clock_ms`` is the time on the worker's monotonic clock.
+    """
 
     clock_ms: int
     incarnation_ms: int
@@ -55,7 +58,7 @@
 
 
 class StartOrder(NamedTuple):
-    """Order to start a task; ``deadline_ms`` is a time on the worker's clock."""
+    """Order to start a task; ``deadline_ms`` is on the worker's monotonic clock."""
 
     task: str
     attempt: int
@@ -68,9 +71,10 @@
 class OrderStatus(StrEnum):
     """Outcome of an order.
 
-    ``REJECTED``: the worker did nothing; ``FENCED``: it did nothing because it has
-    seen a higher epoch; ``UNHEALTHY``: it did nothing because it is unwell;
-    ``UNKNOWN``: it may have run, or may still run, the order.
+    With ``REJECTED``, ``FENCED`` and ``UNHEALTHY`` the worker did nothing: it refused
+    the order, has seen a higher epoch, or is unhealthy. ``REPLACED``: another worker
+    answered at the address. ``UNKNOWN``: the worker may have carried out the order, or
+    may still do so.
     """
 
     DONE = "done"
@@ -82,7 +86,10 @@
 
 
 class OrderReply(NamedTuple):
-    """Outcome of an order with the reason that the worker gave."""
+    """Outcome of an order.
+
+    ``reason`` is the reason that the worker gave, ``clock_ms`` its monotonic clock.
+    """
 
     status: OrderStatus
     reason: str = ""
@@ -90,40 +97,48 @@
 
 
 class WorkerCalls(ABC):
-    """Calls to one worker. Each order carries the epoch of the caller's lease."""
+    """Calls to one worker. Each order carries the epoch of the caller's claim."""
 
     @abstractmethod
     def renew_leases(
         self, *, acknowledged: int, deadline_ms: int | None, wait_ms: int
     ) -> RenewalReply:
-        """Extends the lease of all runs and returns them, waiting for an end.
+        """Renews the leases of all runs and returns the run list.
+
+        The worker answers as soon as a run finishes, or after ``wait_ms``.
 
-        :param acknowledged: number of the last end that is stored.
+        :param acknowledged: number of the last finished run that is stored.
+        :param deadline_ms: end of the leases on the worker's clock; ``None`` leaves
+            them as they are.
+        :param wait_ms: maximum time to wait for a run to finish.
+        :returns: runs in progress, and finished runs after the acknowledged one.
         :raises StaleEpochError: when the worker has seen a higher epoch.
         :raises WorkerReplacedError: when another worker answers at the address.
-        :raises WorkerCallError: when there was no answer.
+        :raises WorkerCallError: when the worker doesn't answer.
         """
 
     @abstractmethod
     def start(self, order: StartOrder) -> OrderReply:
-        """
+        """Starts a run.
+
         :returns: outcome of the order.
         """
 
     @abstractmethod
     def stop(self, task: str, attempt: int) -> OrderReply:
-        """Ends a run, and makes sure that it never starts if it hasn't yet.
+        """Stops a run, or prevents its start if the run hasn't started.
 
         :returns: outcome of the order.
         """
 
     @abstractmethod
     def throttle(self, task: str, attempt: int, percent: int) -> OrderReply:
-        """Limits the share of a worker that a run may use.
+        """Limits the share of the worker's processors that a run may use.
 
+        :param percent: share allowed from now on; 0 pauses the run.
         :returns: outcome of the order.
         """
 
     @abstractmethod
     def close(self) -> None:
-        """Closes the connections."""
+        """Closes the connections to the worker."""
--- a/src/sycamorecroft/scheduling/commit.py
+++ b/src/sycamorecroft/scheduling/commit.py
@@ -1,4 +1,4 @@
-"""Transactions by which an owner stores the progress of its jobs."""
+"""Contents of a transaction in which an owner stores the progress of its jobs."""
 
 from typing import NamedTuple
 
@@ -7,23 +7,25 @@
 
 
 class JobProgress(NamedTuple):
-    """Progress of one job to be stored; ``None`` removes the job and its rows."""
+    """Progress of one job to be stored; ``None`` deletes the job's rows."""
 
     job_id: str
     progress: ProgressRow | None
 
 
 class Acknowledgement(NamedTuple):
-    """Highest end of a worker whose effects are stored."""
+    """Highest number of a worker's finished runs whose effects are stored."""
 
     worker_id: str
     number: int
 
 
 class Commit(NamedTuple):
-    """Progress to be stored, and what may follow once it is.
+    """Progress to be stored, and the steps that follow once it is stored.
 
-    :param pending: counts of jobs without a start by queue, where they changed.
+    ``starts`` are runs to be started and ``acknowledgements`` finished runs to be
+    acknowledged after the commit. ``pending`` holds, by queue, the changed counts of
+    jobs that haven't started.
     """
 
     jobs: tuple[JobProgress, ...]
--- a/src/sycamorecroft/scheduling/commit_queue.py
+++ b/src/sycamorecroft/scheduling/commit_queue.py
@@ -1,23 +1,24 @@
-"""What has changed since the last commit of a service's owner."""
+"""Collects changes of a service's jobs for the owner's next commit."""
 
 from collections.abc import Iterable, Mapping
 
 from sycamorecroft.scheduling.commit import Acknowledgement, Commit, JobProgress
-from sycamorecroft.scheduling.jobs import Job, RunPhase
 from sycamorecroft.scheduling.job_ranking import job_rank
+from sycamorecroft.scheduling.jobs import Job, RunPhase
 from sycamorecroft.scheduling.pending_counts import PendingCounts
 
+# Maximum number of jobs in a commit.
 JOBS_PER_COMMIT_COUNT = 90
-# An expired job takes up to three rows of a commit.
+# Removing an expired job takes up to three rows of a commit.
 ROWS_PER_EXPIRED_JOB_COUNT = 3
 
 
 class CommitQueue:
-    """Jobs, acknowledgements and ended jobs that wait for a commit. Not thread-safe."""
+    """Changed and expired jobs, and acknowledgements, to commit. Not thread-safe."""
 
     def __init__(self, retention_s: float) -> None:
         """
-        :param retention_s: how long an ended job can be asked for.
+        :param retention_s: how long an ended job can be queried, in s.
         """
         self._retention_s = retention_s
         self._dirty: dict[str, Job] = {}
@@ -27,45 +28,45 @@
         self._pending = PendingCounts()
 
     def mark_dirty(self, job: Job) -> None:
-        """Has the progress of a job stored."""
+        """Adds a job whose progress must be stored."""
         self._dirty[job.id] = job
 
     def is_dirty(self, job: Job) -> bool:
         """
-        :returns: whether progress of the job waits to be stored.
+        :returns: whether the job has progress that isn't in a commit yet.
         """
         return job.id in self._dirty
 
     @property
     def is_full(self) -> bool:
-        """Whether the next commit has no room for another job."""
+        """Whether the next commit can hold no more jobs."""
         return len(self._dirty) >= JOBS_PER_COMMIT_COUNT
 
     def acknowledge(self, worker_id: str, number: int) -> None:
-        """Has an end acknowledged once what it means is stored."""
+        """Adds a finished run to be acknowledged once its effects are stored."""
         self._acknowledgements[worker_id] = number
 
-    def forget_acknowledgement(self, worker_id: str) -> None:
-        """The worker started again and counts its ends anew."""
+    def discard_acknowledgement(self, worker_id: str) -> None:
+        """Drops the acknowledgement of a worker whose restart has reset its numbers."""
         self._acknowledgements.pop(worker_id, None)
 
     def record_ended(self, job_id: str, now_s: float) -> None:
-        """A job has ended and nothing of it runs any more."""
+        """Records a job that has ended and has no run in progress."""
         self._ended_s[job_id] = now_s
 
     def has_ended(self, job_id: str) -> bool:
         """
-        :returns: whether the job ended and is still kept.
+        :returns: whether the job has ended and is still retained.
         """
         return job_id in self._ended_s
 
     @property
     def ended_count(self) -> int:
-        """Ended jobs that are kept."""
+        """Number of ended jobs that are retained."""
         return len(self._ended_s)
 
     def expire(self, now_s: float) -> None:
-        """Has the rows of jobs removed that ended long ago."""
+        """Queues the removal of jobs that ended longer ago than the retention time."""
         limit_s = now_s - self._retention_s
         while self._ended_s:
             job_id, ended_s = next(iter(self._ended_s.items()))
@@ -76,29 +77,29 @@
 
     def take(self, jobs: Mapping[str, Job], now_s: float, now_ms: int) -> Commit | None:
         """
-        :param jobs: all jobs, for the counts of those without a start.
+        :param jobs: all jobs, for the counts of those that haven't started.
         :param now_ms: Unix time.
-        :returns: what is to be stored now, ``None`` if there is nothing.
+        :returns: the next commit, or ``None`` if nothing has changed.
         """
         pending = self._pending.changed(jobs.values(), now_s)
         if not (self._dirty or self._acknowledgements or self._expired or pending):
             return None
-        chosen = self._choose_jobs(now_s)
-        for job in chosen:
+        jobs_to_commit = self._choose_jobs(now_s)
+        for job in jobs_to_commit:
             del self._dirty[job.id]
-        entries = [JobProgress(job.id, job.progress(now_ms)) for job in chosen]
-        free_count = JOBS_PER_COMMIT_COUNT - len(entries)
-        entries += self._take_expired(free_count // ROWS_PER_EXPIRED_JOB_COUNT)
+        progress = [JobProgress(job.id, job.progress(now_ms)) for job in jobs_to_commit]
+        free_count = JOBS_PER_COMMIT_COUNT - len(progress)
+        progress += self._take_expired(free_count // ROWS_PER_EXPIRED_JOB_COUNT)
         starts = tuple(
             run
-            for job in chosen
+            for job in jobs_to_commit
             for run in job.runs()
             if run.phase is RunPhase.COMMITTING
         )
-        return Commit(tuple(entries), starts, self._take_acknowledgements(), pending)
+        return Commit(tuple(progress), starts, self._take_acknowledgements(), pending)
 
     def _choose_jobs(self, now_s: float) -> list[Job]:
-        """Takes jobs that can still be in time first when a commit can't hold all."""
+        """Prefers jobs that can meet their objective if a commit can't hold all."""
         jobs = list(self._dirty.values())
         if len(jobs) > JOBS_PER_COMMIT_COUNT:
             jobs.sort(key=lambda job: job_rank(job, now_s))
@@ -109,9 +110,11 @@
         return [JobProgress(job_id, None) for job_id in expired]
 
     def _take_acknowledgements(self) -> tuple[Acknowledgement, ...]:
-        """Takes them only when no job is left whose progress they may depend on."""
+        """Returns none while jobs are left whose progress they may depend on."""
         if self._dirty:
             return ()
-        taken = tuple(Acknowledgement(*item) for item in self._acknowledgements.items())
+        acknowledgements = tuple(
+            Acknowledgement(*item) for item in self._acknowledgements.items()
+        )
         self._acknowledgements = {}
-        return taken
+        return acknowledgements
--- a/src/sycamorecroft/scheduling/evacuation.py
+++ b/src/sycamorecroft/scheduling/evacuation.py
@@ -1,17 +1,19 @@
-"""Choice of the long-running tasks that move off workers about to be emptied."""
+"""Chooses long-running tasks to evacuate from workers that are being drained."""
 
 from collections.abc import Iterable, Iterator, Mapping
 
 from sycamorecroft.scheduling.jobs import Run, RunPhase, Task
-from sycamorecroft.scheduling.placement import choose_worker, could_fit_later
+from sycamorecroft.scheduling.placement import choose_worker, fits_when_freed
 from sycamorecroft.scheduling.workers import Worker
 
 
-def choose_runs_to_evacuate(workers: Mapping[str, Worker], now_s: float) -> Iterator[Run]:
-    """Chooses runs that have another worker to go to and may be missed for a while.
+def choose_runs_to_evacuate(
+    workers: Mapping[str, Worker], now_s: float
+) -> Iterator[Run]:
+    """Yields runs that fit on another worker and may be unavailable for a while.
 
-    The caller stops each run before it asks for the next, so that the tasks of a step
-    that are away at once stay within the step's limit.
+    The caller must stop each run before it requests the next, so that the number of
+    unavailable tasks of a step stays within the step's limit.
     """
     targets = [worker for worker in workers.values() if worker.accepts_tasks(now_s)]
     for target in targets:
@@ -31,21 +33,23 @@
 
 
 def _keep_capacity_for(targets: Iterable[Worker], task: Task) -> None:
-    """Keeps a full worker's room, as it becomes free, for a task that must move.
+    """Reserves capacity, as it is freed on a full worker, for a task to evacuate.
 
-    Short tasks that wait would otherwise take it each time.
+    Otherwise, waiting short tasks would take the capacity each time it is freed.
     """
     fitting = [
         worker
         for worker in targets
-        if could_fit_later(worker, task) and not worker.is_evacuation_target
+        if fits_when_freed(worker, task) and not worker.is_evacuation_target
     ]
     if fitting:
         emptiest = max(fitting, key=lambda worker: worker.free.cpu_millicores)
         emptiest.is_evacuation_target = True
 
 
-def _may_be_unavailable(task: Task, workers: Mapping[str, Worker], now_s: float) -> bool:
+def _may_be_unavailable(
+    task: Task, workers: Mapping[str, Worker], now_s: float
+) -> bool:
     unavailable_count = sum(
         not _is_serving(other, workers, now_s)
         for other in task.job.step_tasks(task.id.occurrence, task.id.step)
--- a/src/sycamorecroft/scheduling/job_ranking.py
+++ b/src/sycamorecroft/scheduling/job_ranking.py
@@ -1,4 +1,4 @@
-"""Order in which waiting jobs get room."""
+"""Order in which waiting jobs are placed on workers."""
 
 from sycamorecroft.scheduling.jobs import Job
 from sycamorecroft.scheduling.model import JobSpec
@@ -6,8 +6,8 @@
 
 def critical_path_ms(spec: JobSpec, done_steps: frozenset[int] = frozenset()) -> float:
     """
-    :param done_steps: steps that take no more time.
-    :returns: estimated time of the longest chain of steps.
+    :param done_steps: numbers of completed steps, which count as 0 ms.
+    :returns: estimated duration in ms of the critical path of the job's steps.
     """
     ends_ms: list[float] = []
     for number, step in enumerate(spec.steps):
@@ -18,7 +18,7 @@
 
 
 def _critical_path_left_s(job: Job) -> float:
-    """Estimates what the steps that haven't ended take; kept until a task ends."""
+    """Returns the estimated time left, which the job caches until a task is done."""
     if job.critical_path_left_s is None:
         job.critical_path_left_s = critical_path_ms(job.spec, job.done_steps()) / 1000
     return job.critical_path_left_s
@@ -26,18 +26,20 @@
 
 def objective_end_s(job: Job) -> float:
     """
-    :returns: monotonic time until which the job's result counts in full.
+    :returns: monotonic time by which the job must complete to meet its objective.
     """
-    allowed_ms = job.queue.stretch_ratio * critical_path_ms(job.spec) + job.queue.objective_ms
+    allowed_ms = (
+        job.queue.stretch_ratio * critical_path_ms(job.spec) + job.queue.objective_ms
+    )
     return job.accepted_s + allowed_ms / 1000
 
 
 def job_rank(job: Job, now_s: float) -> tuple[float, ...]:
-    """Ranks waiting jobs; the lowest gets room first.
+    """Ranks waiting jobs; the lowest rank is placed first.
 
     Within a priority, long-running jobs come first, since others depend on them. Then
-    come jobs that can still meet their objective, by their end; jobs that will be late
-    wait for the rest, so that overload doesn't make every job late.
+    come jobs that can still meet their objective, earliest deadline first. Jobs that
+    will miss theirs come last, so that overload doesn't make every job late.
 
     :returns: key to sort by.
     """
--- a/src/sycamorecroft/scheduling/jobs.py
+++ b/src/sycamorecroft/scheduling/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs and tasks in the memory of a service's owner."""
+"""State of jobs, tasks and runs in the memory of a service's owner."""
 
 from collections.abc import Iterable, Iterator
 from enum import StrEnum
@@ -15,9 +15,10 @@
 class RunPhase(StrEnum):
     """Phase of a run.
 
-    ``COMMITTING``: the assignment isn't stored yet, nothing was sent. ``STARTING``: the
-    order to start is on its way. ``RUNNING``: the worker has taken it. ``STOPPING``:
-    an order to stop was given; the run may or may not be in progress.
+    ``COMMITTING``: the assignment isn't stored yet and no order was sent.
+    ``STARTING``: the order to start is in flight. ``RUNNING``: the worker has confirmed
+    the start. ``STOPPING``: an order to stop was given; the run may still be in
+    progress.
     """
 
     COMMITTING = "committing"
@@ -29,9 +30,10 @@
 class Run:
     """A run of a task that may be in progress on a worker.
 
-    ``settled_s``: a list of runs that was asked for after this time and doesn't name
-    the run proves that it isn't in progress; ``None`` while no such time is known.
-    ``pace_percent``: share of its worker that the run may use, ``None`` if not known.
+    ``confirmed_s``: monotonic time at which the last order to the worker was confirmed,
+    ``None`` if it isn't. A run list that was requested later and doesn't contain the
+    run proves that it isn't in progress. ``share_percent``: share of its worker's
+    processors that the run may use, ``None`` if unknown.
     """
 
     __slots__ = (
@@ -74,9 +76,11 @@
 
 
 class Task:
-    """A task of a job; ``attempt`` is the number of its last start, 0 if none.
+    """A task of a job.
 
-    ``failed_workers``: where it has failed, as far as this owner knows.
+    ``attempt`` is the number of its last start, 0 if there was none. ``failed_workers``
+    are the workers on which it has failed under this owner. ``waiting_since_s`` is the
+    monotonic time since which it has had no run.
     """
 
     __slots__ = (
@@ -106,12 +110,12 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether the task needs a run and has none."""
+        """Whether the task isn't done and has no run."""
         return self.run is None and not self.is_done
 
     def progress(self) -> TaskProgress:
         """
-        :returns: what is stored of the task.
+        :returns: the progress of the task as it is stored.
         """
         run = self.run
         return TaskProgress(
@@ -128,7 +132,7 @@
 
 
 class Job:
-    """An accepted job that hasn't ended, or whose last runs haven't ended."""
+    """An accepted job that hasn't ended, or that still has runs in progress."""
 
     def __init__(self, job_id: str, row: JobRow, now_s: float, now_ms: int) -> None:
         """
@@ -147,7 +151,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether tasks may still be started."""
+        """Whether tasks of the job may still be started."""
         return not self.state.is_final
 
     def start_occurrence(self, now_s: float) -> None:
@@ -162,8 +166,11 @@
                 self.tasks[task_id] = task
 
     def start_due_occurrences(self, now_s: float, now_ms: int) -> bool:
-        """
-        :returns: whether an occurrence became due.
+        """Starts all occurrences that are due.
+
+        :param now_s: monotonic time.
+        :param now_ms: Unix time.
+        :returns: whether an occurrence was started.
         """
         has_started = False
         while self._next_due_ms() <= now_ms and self._has_next_occurrence():
@@ -177,12 +184,12 @@
     def _next_due_ms(self) -> int:
         if not self.spec.is_scheduled:
             return 0
-        started = self.occurrences_started_count * self.spec.interval_ms
-        return self.spec.start_at_ms + started
+        elapsed_ms = self.occurrences_started_count * self.spec.interval_ms
+        return self.spec.start_at_ms + elapsed_ms
 
     def step_tasks(self, occurrence: int, step: int) -> list[Task]:
         """
-        :returns: tasks of a step of an occurrence.
+        :returns: tasks of a step in one occurrence, in the order of their indexes.
         """
         count = self.spec.steps[step].tasks_count
         ids = (TaskId(self.id, occurrence, step, index) for index in range(count))
@@ -190,7 +197,8 @@
 
     def done_steps(self) -> frozenset[int]:
         """
-        :returns: steps whose tasks have all ended, in the first open occurrence.
+        :returns: numbers of the completed steps in the first occurrence that isn't
+            complete.
         """
         count = len(self.spec.steps)
         done: frozenset[int] = frozenset()
@@ -206,8 +214,8 @@
 
     def ready_steps(self) -> Iterator[tuple[int, int]]:
         """
-        :returns: occurrence and number of each step with waiting tasks whose earlier
-            steps have ended.
+        :returns: occurrence and number of each step that has waiting tasks and whose
+            preceding steps are complete.
         """
         for occurrence in range(self.occurrences_started_count):
             for number, step in enumerate(self.spec.steps):
@@ -226,7 +234,7 @@
 
     def is_complete(self) -> bool:
         """
-        :returns: whether all tasks of all occurrences have ended as done.
+        :returns: whether all tasks of all occurrences are done.
         """
         if self._has_next_occurrence():
             return False
@@ -239,7 +247,7 @@
         return [task.run for task in self.tasks.values() if task.run is not None]
 
     def restore(self, progress: ProgressRow, now_s: float) -> None:
-        """Takes over the stored progress; runs are believed to be in progress."""
+        """Restores the stored progress; stored runs are assumed to be in progress."""
         self.state = progress.state
         for stored in progress.tasks:
             while stored.occurrence >= self.occurrences_started_count:
@@ -253,8 +261,8 @@
         task.is_done = stored.is_done
         task.checkpoint = stored.checkpoint
         if stored.worker_id:
-            # The first list that a worker returns under the new epoch is after all
-            # orders of the former owner.
+            # A worker refuses orders of the former owner once it has answered a call
+            # with the new epoch, so its first run list reflects all earlier orders.
             task.run = Run(
                 task,
                 stored.worker_id,
@@ -268,7 +276,7 @@
     def progress(self, now_ms: int) -> ProgressRow:
         """
         :param now_ms: Unix time.
-        :returns: what is stored of the job.
+        :returns: the progress of the job as it is stored.
         """
         if self.state.is_final:
             runs: Iterable[Run] = self.runs()
--- a/src/sycamorecroft/scheduling/load_monitor.py
+++ b/src/sycamorecroft/scheduling/load_monitor.py
@@ -1,4 +1,4 @@
-"""Load of a service: what its pool's controllers and its log are told."""
+"""Measures the load of a service for the fleet controller and the log."""
 
 from collections import deque
 from collections.abc import Iterable, Iterator
@@ -18,18 +18,18 @@
 
 
 class Arrival(NamedTuple):
-    """Estimated work of a job that was taken in."""
+    """Estimated work of an accepted job."""
 
     at_s: float
     millicore_s: float
 
 
 class LoadMonitor:
-    """Measures the load of one service. Not thread-safe."""
+    """Measures arriving, running and waiting work of a service. Not thread-safe."""
 
     def __init__(self, service: str, epoch: int) -> None:
         """
-        :param epoch: epoch of the owner's claim, for the log lines.
+        :param epoch: epoch of the owner's claim, for log lines.
         """
         self._service = service
         self._epoch = epoch
@@ -37,7 +37,7 @@
         self._waiting_logged_s = 0.0
 
     def record_arrival(self, job: Job, now_s: float) -> None:
-        """Records a job whose work arrives now."""
+        """Records a job's estimated work, unless it is scheduled or long-running."""
         if job.spec.is_scheduled or job.spec.is_long_running:
             return
         work_ms = sum(
@@ -54,7 +54,7 @@
         marks_version: int = 0,
     ) -> PoolSnapshot:
         """
-        :param marks_version: version of the marks that the workers carry.
+        :param marks_version: version of the marks that are applied to the workers.
         :returns: load of the service's workers.
         """
         workers = list(workers)
@@ -62,10 +62,10 @@
         demand = Resources()
         for task in waiting:
             demand = demand.plus(task.spec.allocation)
-        listed = [worker for worker in workers if worker.is_registered]
+        registered = [worker for worker in workers if worker.is_registered]
         snapshot = PoolSnapshot(
             now_s,
-            tuple(_worker_snapshot(worker, now_s) for worker in listed),
+            tuple(_worker_snapshot(worker, now_s) for worker in registered),
             demand,
             sum(task.spec.is_long_running for task in waiting),
             self._arriving_millicores(now_s),
@@ -84,7 +84,7 @@
     def _log_waiting(
         self, snapshot: PoolSnapshot, waiting: list[Task], workers: list[Worker]
     ) -> None:
-        """Tells at a bounded rate why tasks have no worker."""
+        """Logs, once a second at most, how much waits and what capacity is free."""
         now_s = snapshot.taken_s
         if now_s - self._waiting_logged_s < WAITING_LOG_INTERVAL_S:
             return
@@ -105,7 +105,7 @@
 
 
 def _waiting_tasks(jobs: Iterable[Job]) -> Iterator[Task]:
-    """Tasks that could run now and have no worker."""
+    """Yields tasks that could run now and have no worker."""
     for job in jobs:
         if not job.is_active:
             continue
--- a/src/sycamorecroft/scheduling/model.py
+++ b/src/sycamorecroft/scheduling/model.py
@@ -1,4 +1,4 @@
-"""Jobs, queues and workers as the scheduler sees them."""
+"""Data model of the scheduler: resources, jobs, queues, services and workers."""
 
 from typing import NamedTuple
 
@@ -12,7 +12,7 @@
 
     def plus(self, other: "Resources") -> "Resources":
         """
-        :returns: the sum.
+        :returns: the sum of both, per resource.
         """
         return Resources(
             self.cpu_millicores + other.cpu_millicores,
@@ -22,7 +22,7 @@
 
     def minus(self, other: "Resources") -> "Resources":
         """
-        :returns: the difference; may be negative.
+        :returns: the difference per resource; may be negative.
         """
         return Resources(
             self.cpu_millicores - other.cpu_millicores,
@@ -32,7 +32,7 @@
 
     def covers(self, demand: "Resources") -> bool:
         """
-        :returns: whether ``demand`` fits.
+        :returns: whether no resource of ``demand`` exceeds this capacity.
         """
         return (
             demand.cpu_millicores <= self.cpu_millicores
@@ -44,10 +44,12 @@
 class StepSpec(NamedTuple):
     """A step of a job: identical tasks that may run in parallel.
 
-    ``estimate_ms`` is the submitter's guess and may be far off. ``after`` lists the
-    steps that must have ended before. ``fills`` marks tasks that take only capacity
-    left over by others. ``may_miss_count`` is how many tasks of a long-running step
-    planned work may take away at once.
+    ``estimate_ms`` is the submitter's estimate of a task's duration and may be far
+    off. ``after`` lists the steps that must complete first. Tasks of a step that
+    ``is_best_effort`` use only processor time that other tasks leave unused.
+    ``max_unavailable_count`` is the number of tasks of a long-running step that planned
+    work may make unavailable at a time. ``goal_ms`` is the goal for the response times
+    of a serving task.
     """
 
     tasks_count: int
@@ -69,14 +71,19 @@
 
     @property
     def allocation(self) -> Resources:
-        """Capacity that a task takes from its worker."""
-        return self.demand._replace(cpu_millicores=0) if self.is_best_effort else self.demand
+        """Resources set aside for a task on its worker."""
+        return (
+            self.demand._replace(cpu_millicores=0)
+            if self.is_best_effort
+            else self.demand
+        )
 
 
 class JobSpec(NamedTuple):
-    """A submitted job. Without a schedule it has one occurrence, number 0.
+    """A submitted job. A job without a schedule has one occurrence, number 0.
 
-    ``start_at_ms`` is the Unix time of occurrence 0 of a scheduled job.
+    ``start_at_ms`` is the Unix time of occurrence 0 of a scheduled job, and
+    ``interval_ms`` the time between its occurrences.
     """
 
     text: str
@@ -87,7 +94,7 @@
 
     @property
     def is_scheduled(self) -> bool:
-        """Whether the job repeats at set times."""
+        """Whether the job repeats at fixed intervals."""
         return self.occurrences_count > 0
 
     @property
@@ -106,13 +113,13 @@
 
     @property
     def name(self) -> str:
-        """Name by which workers know the task."""
+        """Name of the task in calls to workers."""
         return f"{self.job_id}.{self.occurrence}.{self.step}.{self.index}"
 
     @classmethod
     def parse(cls, name: str) -> "TaskId | None":
         """
-        :returns: the task, or ``None`` when the name isn't one of a task.
+        :returns: the task, or ``None`` if the name isn't that of a task.
         """
         job_id, *numbers = name.split(".")
         if len(numbers) != 3 or not all(number.isdecimal() for number in numbers):
@@ -121,7 +128,7 @@
 
 
 class AdviceTimes(NamedTuple):
-    """Times of the service that approves workers for the steps of a queue."""
+    """Times, as configured, of the advice service that approves workers for a queue."""
 
     decide_ms: int
     period_ms: int
@@ -129,7 +136,11 @@
 
 
 class Queue(NamedTuple):
-    """A queue of jobs; a lower ``priority`` number goes first."""
+    """A queue of jobs; a lower ``priority`` number is scheduled first.
+
+    ``host_name`` and ``path_prefix`` are the HTTP host name and the path prefix that
+    route submissions to the queue.
+    """
 
     name: str
     host_name: str
@@ -146,8 +157,8 @@
 class Service(NamedTuple):
     """A service and its pool of workers.
 
-    ``rejects_overload``: its workers refuse tasks that don't fit. ``is_standby``: the
-    hosts of its pool are off.
+    ``rejects_overload``: its workers refuse tasks that exceed their capacity.
+    ``is_standby``: the hosts of its pool are powered off.
     """
 
     name: str
@@ -156,7 +167,7 @@
 
 
 class FleetSnapshot(NamedTuple):
-    """A version of the configuration, in full."""
+    """A complete version of the configuration."""
 
     version: int
     queues: tuple[Queue, ...]
@@ -166,11 +177,11 @@
 
 
 class WorkerRegistration(NamedTuple):
-    """What a worker says of itself in the platform's store.
+    """Registration of a worker, as the worker writes it to the platform's store.
 
-    ``born_ms`` is the Unix time of its start: a worker that started again under the
-    same id knows nothing of its earlier runs. ``remaining_ms`` is the least time left
-    of a draining worker.
+    ``incarnation_ms`` is the start time of the worker (Unix time) and identifies its
+    incarnation: a worker that restarts under the same id has no record of its earlier
+    runs. ``remaining_ms`` is the minimum time until a draining worker stops.
     """
 
     worker_id: str
@@ -186,5 +197,5 @@
 
     @property
     def rack(self) -> str:
-        """Rack of the worker; the last of its labels."""
+        """Rack of the worker, which is the last of its labels."""
         return self.labels[-1] if self.labels else ""
--- a/src/sycamorecroft/scheduling/orders.py
+++ b/src/sycamorecroft/scheduling/orders.py
@@ -1,4 +1,4 @@
-"""Orders of a service's owner that wait to be sent."""
+"""Orders to workers, and the queue of those that haven't been sent."""
 
 from typing import NamedTuple
 
@@ -9,7 +9,7 @@
 
 
 class StartTask(NamedTuple):
-    """Order to start a run whose assignment is stored."""
+    """Order to start a run; given only after the assignment is stored."""
 
     run: Run
     checkpoint: str
@@ -17,12 +17,12 @@
 
     @property
     def worker_id(self) -> str:
-        """Worker that gets the order."""
+        """Worker that the order is sent to."""
         return self.run.worker_id
 
 
 class StopTask(NamedTuple):
-    """Order to end an attempt of a task on a worker."""
+    """Order to stop an attempt of a task on a worker."""
 
     worker_id: str
     task: str
@@ -30,14 +30,14 @@
 
 
 class ThrottleTask(NamedTuple):
-    """Order to limit the share of its worker that a run may use."""
+    """Order to limit the share of its worker's processors that a run may use."""
 
     run: Run
     percent: int
 
     @property
     def worker_id(self) -> str:
-        """Worker that gets the order."""
+        """Worker that the order is sent to."""
         return self.run.worker_id
 
 
@@ -45,20 +45,20 @@
 
 
 class OrderQueue:
-    """Orders in the sequence in which they were given. Not thread-safe."""
+    """First-in, first-out queue of orders. Not thread-safe."""
 
     def __init__(self) -> None:
         self._orders: list[Order] = []
         self._last_stop_s: dict[tuple[str, int], float] = {}
 
     def add(self, order: Order) -> None:
-        """Adds an order."""
+        """Adds an order at the end of the queue."""
         self._orders.append(order)
 
     def stop(self, worker_id: str, task: str, attempt: int, now_s: float) -> bool:
-        """Adds an order to stop, unless one was given a moment ago.
+        """Adds an order to stop, unless the last one is less than 0.5 s old.
 
-        :returns: whether it was added.
+        :returns: whether the order was added.
         """
         key = (task, attempt)
         if now_s - self._last_stop_s.get(key, -STOP_RETRY_S) < STOP_RETRY_S:
@@ -67,15 +67,15 @@
         self._orders.append(StopTask(worker_id, task, attempt))
         return True
 
-    def forget_job(self, job_id: str) -> None:
-        """Forgets when tasks of a job were stopped."""
+    def discard_job(self, job_id: str) -> None:
+        """Drops the times of the last stop orders for the tasks of a job."""
         prefix = f"{job_id}."
         for key in [key for key in self._last_stop_s if key[0].startswith(prefix)]:
             del self._last_stop_s[key]
 
     def take(self) -> list[Order]:
         """
-        :returns: all orders, which are then forgotten.
+        :returns: all queued orders; the queue is empty afterwards.
         """
         orders, self._orders = self._orders, []
         return orders
--- a/src/sycamorecroft/scheduling/pending_counts.py
+++ b/src/sycamorecroft/scheduling/pending_counts.py
@@ -1,4 +1,4 @@
-"""Counts of jobs without a start, which callers can ask for."""
+"""Counts jobs that haven't started; the counts are stored for queries by callers."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,7 @@
 
 
 class PendingCounts:
-    """Counts by queue, and which of them are stored. Not thread-safe."""
+    """Counts pending jobs by queue, and keeps the stored counts. Not thread-safe."""
 
     def __init__(self) -> None:
         self._stored: dict[str, int] = {}
@@ -17,8 +17,8 @@
 
     def changed(self, jobs: Iterable[Job], now_s: float) -> tuple[tuple[str, int], ...]:
         """
-        :returns: queue and count where it differs from what is stored; nothing if the
-            last counts were stored a moment ago.
+        :returns: queues, with their counts, whose count differs from the stored one;
+            empty if counts were written less than 0.5 s ago.
         """
         if now_s - self._written_s < WRITE_INTERVAL_S:
             return ()
--- a/src/sycamorecroft/scheduling/placement.py
+++ b/src/sycamorecroft/scheduling/placement.py
@@ -1,17 +1,17 @@
-"""Choice of a worker for a task."""
+"""Chooses a worker for a task."""
 
 from collections.abc import Iterable
 
 from sycamorecroft.scheduling.jobs import Task
 from sycamorecroft.scheduling.workers import Worker
 
-# How long a task's last attempt waits for a worker on which it hasn't failed.
+# Time for which a task's last attempt waits for a worker on which it hasn't failed.
 LAST_ATTEMPT_WAIT_S = 1.0
 
 
 def fits_when_empty(worker: Worker, task: Task) -> bool:
     """
-    :returns: whether the worker could ever run the task, were it empty.
+    :returns: whether the worker could run the task if it ran nothing else.
     """
     spec = task.spec
     labels = worker.registration.labels
@@ -19,36 +19,39 @@
     return has_label and worker.registration.capacity.covers(spec.allocation)
 
 
-def could_fit_later(worker: Worker, task: Task) -> bool:
+def fits_when_freed(worker: Worker, task: Task) -> bool:
     """
-    :returns: whether the worker could run the task once other tasks have ended.
+    :returns: whether the worker could run the task once other tasks have ended, within
+        the limit of the step's tasks on one worker.
     """
     return fits_when_empty(worker, task) and _is_below_limit(worker, task)
 
 
 def choose_worker(workers: Iterable[Worker], task: Task, now_s: float) -> Worker | None:
-    """Chooses the fullest worker that has room, near the task's data if possible.
+    """Chooses a worker with enough free capacity, near the task's data if possible.
 
-    Tasks that end are packed, first on workers that long-running tasks keep in the pool
-    anyway, so that the others can leave as soon as demand falls. Long-running tasks go
-    to the emptiest worker; they avoid workers that planned work will empty, and the
-    racks that hold others of their step, so that one failure takes few of them.
-    Workers where this task or others have failed come last, since attempts are few, and
-    those that are slow or on which a task stands still.
+    Short tasks are packed on the fullest worker, preferably on workers that
+    long-running tasks keep in the pool anyway, so that other workers can leave as soon
+    as demand falls. Long-running tasks go to the emptiest worker. They avoid workers
+    that planned work will drain, and racks with other tasks of their step, so that one
+    failure affects few of them. Workers on which this task or others have failed come
+    last, since attempts are limited, as do slow workers and those with a stalled task.
 
-    :param workers: workers that take new tasks.
-    :returns: ``None`` when no worker has room.
+    :param workers: workers that accept new tasks.
+    :returns: the best worker, ``None`` if the task fits on none.
     """
-    best: Worker | None = None
+    best_worker: Worker | None = None
     best_rank: tuple[float, ...] = ()
     racks = _racks_of_step(task)
     for worker in workers:
-        if not _has_free_capacity(worker, task) or _is_avoided_for_last_attempt(worker, task, now_s):
+        if not _has_free_capacity(worker, task) or _is_avoided_for_last_attempt(
+            worker, task, now_s
+        ):
             continue
         rank = _rank(worker, task, racks)
-        if best is None or rank < best_rank:
-            best, best_rank = worker, rank
-    return best
+        if best_worker is None or rank < best_rank:
+            best_worker, best_rank = worker, rank
+    return best_worker
 
 
 def _has_free_capacity(worker: Worker, task: Task) -> bool:
@@ -68,7 +71,7 @@
 
 
 def _is_avoided_for_last_attempt(worker: Worker, task: Task, now_s: float) -> bool:
-    """Keeps a task's last attempt for a worker where it hasn't failed, for a while."""
+    """Returns whether a task's last attempt must wait for another worker, up to 1 s."""
     if worker.id not in task.failed_workers:
         return False
     is_last = task.failures_count + 1 >= task.job.queue.attempts_count
@@ -76,7 +79,7 @@
 
 
 def _racks_of_step(task: Task) -> dict[str, int]:
-    """Counts the racks where runs of the task's step are, if that matters to it."""
+    """Counts runs of the task's step by rack, if the task is placed by rack."""
     spec = task.spec
     if not (spec.is_rack_local or spec.is_long_running):
         return {}
@@ -91,12 +94,16 @@
 def _rank(worker: Worker, task: Task, racks: dict[str, int]) -> tuple[float, ...]:
     spec = task.spec
     registration = worker.registration
-    is_far = bool(spec.preferred_rack) and spec.preferred_rack not in registration.labels
+    is_far = (
+        bool(spec.preferred_rack) and spec.preferred_rack not in registration.labels
+    )
     same_rack_count = racks.get(registration.rack, 0)
     if spec.is_rack_local:
         same_rack_count = -same_rack_count
     is_due = spec.is_long_running and worker.is_due
-    free_ratio = worker.free.cpu_millicores / max(1, registration.capacity.cpu_millicores)
+    free_ratio = worker.free.cpu_millicores / max(
+        1, registration.capacity.cpu_millicores
+    )
     if spec.is_long_running:
         packing = (-free_ratio,)
     else:
--- a/src/sycamorecroft/scheduling/pool_rows.py
+++ b/src/sycamorecroft/scheduling/pool_rows.py
@@ -1,8 +1,8 @@
-"""Rows through which a service's owner and the machines' owner work together.
+"""Rows that service owners and the fleet controller exchange.
 
-Each service's owner stores its load in a part of its own, so that it doesn't wait for
-the commits of its jobs. The marks of all services lie in the part of the machines'
-owner, which writes them in one transaction.
+Each service owner stores its load in a separate part, so that the load doesn't wait for
+commits of the service's jobs. The marks of all services are stored in the part of the
+fleet controller, which writes them in one transaction.
 """
 
 from typing import NamedTuple
@@ -10,17 +10,18 @@
 from sycamorecroft.scheduling.model import Resources
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot
 
-# Name under which hosts claim the right to order moves and upkeep. It can't be the
-# name of a service, which has no tilde.
+# Claim of the entry host that orders host moves and upkeep. The tilde keeps the name
+# distinct from services, whose names contain none.
 FLEET_CONTROLLER_CLAIM = "~machines"
 LOADS_TABLE = "loads"
 MARKS_TABLE = "marks"
-# Key of the machines' sizes beside the row of their owner, which all hosts follow.
+# Key of the row with the host sizes. It lies in the table of owners, which all entry
+# hosts watch.
 HOST_SIZES_KEY = "sizes"
 
 
 class LoadRow(NamedTuple):
-    """Load of a service, by the owner that claimed it with ``epoch``."""
+    """Load of a service, as stored by the owner whose claim has ``epoch``."""
 
     service: str
     epoch: int
@@ -28,13 +29,13 @@
 
 
 class HostSizesRow(NamedTuple):
-    """Distinct capacities of all machines, standby included."""
+    """Distinct capacities of all hosts, including those on standby."""
 
     sizes: tuple[Resources, ...]
 
 
 def load_part(service: str) -> str:
     """
-    :returns: part of the row of a service's load.
+    :returns: part that stores the row of a service's load.
     """
     return f"{service}/load"
--- a/src/sycamorecroft/scheduling/pool_snapshot.py
+++ b/src/sycamorecroft/scheduling/pool_snapshot.py
@@ -1,4 +1,4 @@
-"""What the owner of a service and the owner of the machines tell each other."""
+"""Data exchanged between the owner of a service and the fleet controller."""
 
 from typing import NamedTuple
 
@@ -8,9 +8,9 @@
 class WorkerSnapshot(NamedTuple):
     """Load of a worker.
 
-    ``is_reserved``: no new task is placed on it, as the machines' owner asked.
-    ``is_expected``: it answers, or was listed so lately that it may not have been asked
-    yet.
+    ``is_reserved``: the fleet controller has asked that no new task is placed on it.
+    ``is_presumed_reachable``: it is in contact, or registered so recently that it may
+    not have been called yet.
     """
 
     worker_id: str
@@ -26,7 +26,7 @@
 
     @property
     def is_drained(self) -> bool:
-        """Whether the worker runs nothing and gets nothing new."""
+        """Whether the worker runs no task and no new task is placed on it."""
         return self.is_reserved and self.is_in_contact and not self.runs_count
 
 
@@ -34,9 +34,9 @@
     """Load of a service's workers.
 
     ``waiting`` is the demand of tasks that could run now and have no worker.
-    ``arriving_millicores`` is the capacity that work takes if it goes on to arrive as
-    it did of late. ``marks_version`` is the version of the marks that the scheduler
-    went by.
+    ``arriving_millicores`` is the capacity needed if jobs continue to arrive at the
+    recent rate. ``marks_version`` is the version of the marks that the scheduler has
+    applied.
     """
 
     taken_s: float
@@ -48,10 +48,10 @@
 
 
 class WorkerMarks(NamedTuple):
-    """Workers that planned work concerns.
+    """Planned-work marks of a service's workers.
 
-    ``reserved``: to be emptied now. ``due``: to be emptied later, so that tasks that
-    last are better placed elsewhere.
+    ``reserved``: workers to be drained now. ``due``: workers to be drained later, on
+    which long-running tasks are placed only as a last choice.
     """
 
     reserved: frozenset[str] = frozenset()
--- a/src/sycamorecroft/scheduling/rows.py
+++ b/src/sycamorecroft/scheduling/rows.py
@@ -1,10 +1,10 @@
 """Rows in which a service's jobs are stored.
 
-Jobs lie in one table for each service, so that its owner follows a feed of its own
-submissions; their progress lies in another, which only the owner writes. All rows that
-an owner writes share one part, since a transaction may not span several. Jobs are
-spread over several parts: the transactions of one part queue up, and a slow store would
-refuse submissions of many entry hosts to one part.
+Each service has one table of jobs, so that its owner watches only submissions to that
+service, and one table of progress, which only the owner writes. All rows that an owner
+writes share one part, because a transaction can't span parts. Jobs are spread over
+several parts: the transactions of one part are serialized, so that a slow store would
+refuse submissions that many entry hosts send to the same part.
 """
 
 import zlib
@@ -19,28 +19,28 @@
 Decoded = TypeVar("Decoded")
 
 CANCEL_SUFFIX = "~cancel"
-# Of one part, a store that is a hundred times slower than usual stores fewer than two
-# transactions a second, whichever host they come from.
+# A store that is a hundred times slower than usual commits fewer than two transactions
+# a second per part, no matter how many entry hosts send them.
 JOB_PARTS_COUNT = 64
 
 
 def jobs_table(service: str) -> str:
     """
-    :returns: table of the jobs and cancellations of a service.
+    :returns: name of the table with the jobs and cancellations of a service.
     """
     return f"jobs.{service}"
 
 
 def jobs_part(service: str, job_id: str) -> str:
     """
-    :returns: part of the row of a job and of its cancellation.
+    :returns: part that stores the row of a job and its cancellation.
     """
     return f"{service}/{zlib.crc32(job_id.encode()) % JOB_PARTS_COUNT}"
 
 
 def progress_table(service: str) -> str:
     """
-    :returns: table of the progress of the jobs of a service.
+    :returns: name of the table with the progress of a service's jobs.
     """
     return f"progress.{service}"
 
@@ -61,7 +61,7 @@
 
 
 class JobRow(NamedTuple):
-    """An accepted job with the parameters of its queue at that time.
+    """An accepted job, with the parameters that its queue had when it was accepted.
 
     ``accepted_ms`` is Unix time.
     """
@@ -72,16 +72,17 @@
 
 
 class CancelRow(NamedTuple):
-    """A cancellation of a job. ``requested_ms`` is Unix time."""
+    """Cancellation of a job. ``requested_ms`` is Unix time."""
 
     requested_ms: int
 
 
 class TaskProgress(NamedTuple):
-    """Progress of a task that has been started or has failed.
+    """Progress of a task that has been started at least once.
 
-    ``attempt`` is the number of the last start. ``worker_id`` is empty unless a run
-    may be in progress there, on the life of the worker that began at ``born_ms``.
+    ``attempt`` is the number of the last start. ``worker_id`` and ``incarnation_ms``
+    name the worker, and its incarnation, on which a run may be in progress;
+    ``worker_id`` is empty if there is none.
     """
 
     occurrence: int
@@ -96,7 +97,10 @@
 
 
 class ProgressRow(NamedTuple):
-    """Progress of a job. ``changed_ms`` is Unix time; final states have no tasks."""
+    """Progress of a job. ``changed_ms`` is Unix time.
+
+    In a final state, ``tasks`` lists only tasks whose runs may still be in progress.
+    """
 
     state: JobState
     changed_ms: int
@@ -105,16 +109,19 @@
 
 def encode_row(row: NamedTuple) -> bytes:
     """
-    :returns: JSON text of a row.
+    :returns: the row as a JSON array.
     """
     return msgspec.json.encode(row)
 
 
 def decode_row(value: bytes, row_type: type[Decoded]) -> Decoded:
     """
+    :returns: the decoded row.
     :raises RecordError: when the value isn't a row of that type.
     """
     try:
         return msgspec.json.decode(value, type=row_type)
     except msgspec.DecodeError as error:
-        raise RecordError(f"row of type {row_type.__name__}: {error}") from error
+        raise RecordError(
+            f"malformed row, expected {row_type.__name__}: {error}"
+        ) from error
--- a/src/sycamorecroft/scheduling/run_tracker.py
+++ b/src/sycamorecroft/scheduling/run_tracker.py
@@ -1,4 +1,4 @@
-"""Runs of a service's tasks: how they are stopped, and what their ends mean."""
+"""Stops runs of a service's tasks and applies the outcomes of finished runs."""
 
 from collections.abc import Callable, Iterable
 
@@ -16,7 +16,7 @@
 
 
 class RunTracker:
-    """Ends and stops of runs on the workers of one service. Not thread-safe."""
+    """Tracks the runs on the workers of one service until they end. Not thread-safe."""
 
     def __init__(
         self,
@@ -28,8 +28,8 @@
         on_changed: Callable[[Job], None],
     ) -> None:
         """
-        :param epoch: epoch of the owner's claim, for its log lines.
-        :param on_changed: told of each job whose progress has changed.
+        :param epoch: epoch of the owner's claim, for log lines.
+        :param on_changed: called with each job whose progress has changed.
         """
         self._service = service
         self._epoch = epoch
@@ -38,8 +38,10 @@
         self._recorder = recorder
         self._on_changed = on_changed
 
-    def finish_run(self, run: Run, outcome: RunOutcome, checkpoint: str, now_s: float) -> None:
-        """Frees the run's room and decides what its end means for the task."""
+    def finish_run(
+        self, run: Run, outcome: RunOutcome, checkpoint: str, now_s: float
+    ) -> None:
+        """Releases a run's resources and applies its outcome to task and job."""
         task = run.task
         worker = self._workers.get(run.worker_id)
         if worker is not None:
@@ -67,7 +69,7 @@
             self._fail_task(task, worker, now_s)
 
     def expire_runs(self, runs: Iterable[Run], now_s: float) -> None:
-        """Ends runs that their worker doesn't have any more."""
+        """Finishes runs that are no longer in progress on their worker."""
         for run in runs:
             self.finish_run(run, RunOutcome.EXPIRED, "", now_s)
 
@@ -98,7 +100,7 @@
                 "worker_quarantined",
                 worker=worker.id,
                 until_s=round(worker.quarantined_until_s, 3),
-                reason="runs of several jobs failed in a row",
+                reason="consecutive runs of several jobs failed",
             )
         if task.spec.is_long_running:
             return
@@ -107,7 +109,7 @@
             self.finish_job(job, JobState.FAILED, now_s)
 
     def finish_job(self, job: Job, state: JobState, now_s: float) -> None:
-        """Ends a job and stops what still runs of it."""
+        """Sets a job's final state and stops its remaining runs."""
         job.state = state
         self._on_changed(job)
         self._recorder.count(JOB_ENDS, service=self._service, state=state.value)
@@ -123,7 +125,7 @@
             self.stop_run(run, now_s)
 
     def stop_run(self, run: Run, now_s: float) -> None:
-        """Ends a run; its room is free only once the worker says so."""
+        """Stops a run, whose resources are released once the worker confirms it."""
         if run.phase is RunPhase.COMMITTING:
             self.finish_run(run, RunOutcome.STOPPED, "", now_s)
             return
@@ -134,7 +136,7 @@
         self._order_stop(run, now_s)
 
     def retry_stops(self, now_s: float) -> None:
-        """Orders again what workers in contact haven't confirmed."""
+        """Repeats stop orders that reachable workers haven't confirmed."""
         for worker in self._workers.values():
             if not worker.is_in_contact(now_s):
                 continue
--- a/src/sycamorecroft/scheduling/scheduler.py
+++ b/src/sycamorecroft/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""Decisions of the owner of a service: which task runs where, and what is stored."""
+"""Scheduler of a service: places its tasks and decides what is stored."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 from sycamorecroft.errors import RecordError
 from sycamorecroft.recorder import NullRecorder, Recorder
-from sycamorecroft.scheduling.advice import ApprovalCache, AdviceResult
+from sycamorecroft.scheduling.advice import AdviceResult, ApprovalCache
 from sycamorecroft.scheduling.commit import Commit
 from sycamorecroft.scheduling.commit_queue import CommitQueue
 from sycamorecroft.scheduling.evacuation import choose_runs_to_evacuate
@@ -17,10 +17,9 @@
 from sycamorecroft.scheduling.orders import (
     Order,
     OrderQueue,
-    ThrottleTask,
     StartTask,
+    ThrottleTask,
 )
-from sycamorecroft.scheduling.throttling import plan_throttles
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot
 from sycamorecroft.scheduling.rows import (
     CANCEL_SUFFIX,
@@ -31,8 +30,9 @@
 )
 from sycamorecroft.scheduling.run_tracker import RunTracker
 from sycamorecroft.scheduling.task_placer import TaskPlacer
-from sycamorecroft.scheduling.worker_reports import WorkerReports
+from sycamorecroft.scheduling.throttling import plan_throttles
 from sycamorecroft.scheduling.worker_health import run_list_age_s, update_worker_health
+from sycamorecroft.scheduling.worker_reports import WorkerReports
 from sycamorecroft.scheduling.workers import Worker
 from sycamorecroft.store.interfaces import Row
 
@@ -42,8 +42,8 @@
 class SchedulerSettings(NamedTuple):
     """Times of the scheduler.
 
-    ``former_lease_end_s``: time by which the leases that former owners gave have ended.
-    ``retention_s``: how long an ended job can be asked for.
+    ``former_lease_end_s``: monotonic time by which leases that former owners granted
+    have expired. ``retention_s``: how long an ended job can be queried.
     """
 
     former_lease_end_s: float = 0.0
@@ -53,7 +53,7 @@
 class Scheduler:
     """State and decisions of one service. Not thread-safe.
 
-    :ivar reports: takes in what workers tell.
+    :ivar reports: applies reports of the workers.
     """
 
     def __init__(
@@ -64,8 +64,8 @@
         epoch: int = 0,
     ) -> None:
         """
-        :param recorder: counts and durations go there.
-        :param epoch: epoch of the owner's claim, for its log lines.
+        :param recorder: receives counts and durations; none are recorded if ``None``.
+        :param epoch: epoch of the owner's claim, for log lines.
         """
         self.service = service
         self._epoch = epoch
@@ -75,7 +75,7 @@
         self.workers: dict[str, Worker] = {}
         self._commits = CommitQueue(settings.retention_s)
         self._orders = OrderQueue()
-        self._advice = ApprovalCache()
+        self._approvals = ApprovalCache()
         self._runs = RunTracker(
             service, epoch, self.workers, self._orders, recorder, self._on_job_changed
         )
@@ -85,21 +85,21 @@
             self._runs,
             self._orders,
             self._commits,
-            self._advice,
+            self._approvals,
             recorder,
             former_lease_end_s=settings.former_lease_end_s,
             on_capacity_freed=self._on_capacity_freed,
         )
         self._placer = TaskPlacer(
             self.workers,
-            self._advice,
+            self._approvals,
             self._orders,
             self._commits.mark_dirty,
             lambda: self._commits.is_full,
         )
         self._load_monitor = LoadMonitor(service, epoch)
         self._is_placement_due = False
-        self._clock_ms = 0
+        self._now_ms = 0
 
     def _on_job_changed(self, job: Job) -> None:
         self._commits.mark_dirty(job)
@@ -115,12 +115,12 @@
         now_s: float,
         now_ms: int,
     ) -> None:
-        """Takes over what former owners stored.
+        """Loads the jobs and the progress that former owners stored.
 
         :param now_s: monotonic time.
         :param now_ms: Unix time.
         """
-        self._clock_ms = now_ms
+        self._now_ms = now_ms
         progress: dict[str, ProgressRow] = {}
         for row in progress_rows:
             decoded = _decode(row, ProgressRow)
@@ -156,24 +156,31 @@
         self._is_placement_due = True
 
     def _adopt_run(self, run: Run, now_s: float) -> None:
-        """Counts a run of a former owner at its worker, which may be gone."""
+        """Assigns a run of a former owner to its worker, which may have left."""
         worker = self.workers.get(run.worker_id)
         if worker is None:
-            entry = WorkerRegistration(
-                run.worker_id, self.service, "", "", False, (), Resources(), run.incarnation_ms
+            registration = WorkerRegistration(
+                run.worker_id,
+                self.service,
+                "",
+                "",
+                False,
+                (),
+                Resources(),
+                run.incarnation_ms,
             )
-            worker = Worker(entry, self._settings.former_lease_end_s)
+            worker = Worker(registration, self._settings.former_lease_end_s)
             worker.is_registered = False
             self.workers[worker.id] = worker
         run.phase = RunPhase.RUNNING
-        run.rack = worker.entry.rack
+        run.rack = worker.registration.rack
         worker.add(run)
         if not run.task.job.is_active:
             self._runs.stop_run(run, now_s)
 
     def apply_job_rows(self, rows: Iterable[Row], now_s: float, now_ms: int) -> None:
-        """Takes in submissions and cancellations."""
-        self._clock_ms = now_ms
+        """Applies submissions and cancellations."""
+        self._now_ms = now_ms
         for row in rows:
             if row.value is None:
                 continue
@@ -206,8 +213,8 @@
             self._runs.finish_job(job, JobState.CANCELLED, now_s)
 
     def tick(self, now_s: float, now_ms: int) -> None:
-        """Does what depends on time only."""
-        self._clock_ms = now_ms
+        """Applies everything that depends on time only, such as expired leases."""
+        self._now_ms = now_ms
         self.reports.check_contacts(now_s)
         for job in list(self.jobs.values()):
             if job.is_active:
@@ -220,20 +227,22 @@
         self._is_placement_due = True
 
     def _evacuate(self, now_s: float) -> None:
-        """Moves long-running tasks off workers that are about to be emptied."""
+        """Evacuates long-running tasks from workers that are being drained."""
         for run in choose_runs_to_evacuate(self.workers, now_s):
             worker = self.workers[run.worker_id]
             _log.info(
-                "task_moved_away",
+                "task_evacuated",
                 task=run.task.id.name,
                 attempt=run.attempt,
                 worker=worker.id,
-                reason="draining" if worker.entry.is_draining else "planned work",
+                reason="draining"
+                if worker.registration.is_draining
+                else "planned work",
             )
             self._runs.stop_run(run, now_s)
 
     def _throttle(self, now_s: float) -> None:
-        """Slows down or speeds up tasks that fill beside tasks that serve."""
+        """Changes the shares of best-effort tasks that run beside serving tasks."""
         for run, percent in plan_throttles(self.workers.values(), now_s):
             _log.info(
                 "task_paced",
@@ -258,23 +267,25 @@
         )
 
     def place(self, now_s: float) -> None:
-        """Assigns waiting tasks to workers that have room.
+        """Assigns waiting tasks to workers with free capacity.
 
-        While the store is slow, tasks that the next commit can't hold would keep room
-        from others until it is their turn.
+        Stops when the next commit is full: while the store is slow, further tasks would
+        occupy capacity that others could use until their commit is stored.
         """
         if not self._is_placement_due:
             return
         self._is_placement_due = self._placer.place(self.jobs.values(), now_s)
 
     def apply_advice(self, result: AdviceResult, now_s: float) -> None:
-        """Takes in an answer of the advice service."""
-        incarnations_ms = {worker.id: worker.incarnation_ms for worker in self.workers.values()}
-        self._advice.apply(result, incarnations_ms, now_s)
+        """Applies an answer of the advice service."""
+        incarnations_ms = {
+            worker.id: worker.incarnation_ms for worker in self.workers.values()
+        }
+        self._approvals.apply(result, incarnations_ms, now_s)
         self._is_placement_due = True
         approvals = result.approvals
         _log.info(
-            "advice_taken_in",
+            "advice_applied",
             step=result.request.step.name,
             asked_count=len(result.request.workers),
             approved_count=len(approvals.approved) if approvals else None,
@@ -282,25 +293,25 @@
 
     def next_commit(self, now_s: float) -> Commit | None:
         """
-        :returns: what has changed since the last commit, or ``None``.
+        :returns: changes since the last commit, or ``None`` if there are none.
         """
-        return self._commits.take(self.jobs, now_s, self._clock_ms)
+        return self._commits.take(self.jobs, now_s, self._now_ms)
 
     def apply_commit(self, commit: Commit, now_s: float) -> None:
-        """Gives the orders that had to wait for a commit, once it is stored."""
+        """Gives the orders that depend on a commit, once the commit is stored."""
         for run in commit.starts:
             if run.task.run is run and run.phase is RunPhase.COMMITTING:
                 self._start(run, now_s)
-        for entry in commit.jobs:
-            job = self.jobs.get(entry.job_id)
+        for stored in commit.jobs:
+            job = self.jobs.get(stored.job_id)
             if job is None or job.is_active or job.runs():
                 continue
             if self._commits.is_dirty(job):
                 continue
             del self.jobs[job.id]
             self._commits.record_ended(job.id, now_s)
-            self._orders.forget_job(job.id)
-            self._advice.forget_job(job.id)
+            self._orders.discard_job(job.id)
+            self._approvals.discard_job(job.id)
 
     def _start(self, run: Run, now_s: float) -> None:
         run.phase = RunPhase.STARTING
@@ -324,7 +335,7 @@
 
     def take_orders(self) -> list[Order]:
         """
-        :returns: orders to be sent now.
+        :returns: orders to be sent now, which are removed from the queue.
         """
         return self._orders.take()
 
@@ -333,5 +344,5 @@
     try:
         return decode_row(row.value, row_type)
     except RecordError as error:
-        _log.error("row_not_understood", table=row.table, key=row.key, error=str(error))
+        _log.error("row_malformed", table=row.table, key=row.key, error=str(error))
         return None
--- a/src/sycamorecroft/scheduling/service_actor.py
+++ b/src/sycamorecroft/scheduling/service_actor.py
@@ -1,4 +1,4 @@
-"""Actor of a service that this host owns."""
+"""Actor of a service that this entry host owns."""
 
 from collections.abc import Callable
 from functools import partial
@@ -9,7 +9,7 @@
 from sycamorecroft.clock import Clock
 from sycamorecroft.concurrency import DaemonActor, tell_if_alive
 from sycamorecroft.ownership.committer import CommitOutcome, CommitResult, Committer
-from sycamorecroft.scheduling.advice import AdviceResult, AdviceRequest
+from sycamorecroft.scheduling.advice import AdviceRequest, AdviceResult
 from sycamorecroft.scheduling.calls import WorkerCalls
 from sycamorecroft.scheduling.model import WorkerRegistration
 from sycamorecroft.scheduling.pool_snapshot import PoolSnapshot, WorkerMarks
@@ -19,9 +19,9 @@
     EpochSuperseded,
     RenewalFailed,
     RenewalSucceeded,
-    ThrottleResult,
     StartResult,
     StopResult,
+    ThrottleResult,
     WorkerLink,
     WorkerReplaced,
 )
@@ -29,11 +29,11 @@
 
 _log = structlog.get_logger(__name__)
 
-# Messages that are handled before the actor decides, so that a burst costs one
-# decision and one transaction.
-BATCH_COUNT = 50
-# Load is measured at most this often; measuring it visits each waiting task.
-LOAD_INTERVAL_S = 0.08
+# The actor applies up to this many queued messages before it decides, so that a burst
+# of messages costs one decision and one transaction.
+MESSAGES_PER_DECISION_COUNT = 50
+# Minimum time between load snapshots, each of which visits every waiting task.
+SNAPSHOT_INTERVAL_S = 0.08
 
 
 _LINK_MESSAGES = (
@@ -48,38 +48,39 @@
 
 
 class JobRowsChanged(NamedTuple):
-    """New submissions and cancellations."""
+    """New submissions and cancellations of jobs."""
 
     rows: tuple[Row, ...]
 
 
 class RegistrationsChanged(NamedTuple):
-    """All workers of the service."""
+    """Current registrations of all workers of the service."""
 
     registrations: tuple[WorkerRegistration, ...]
 
 
 class MarksChanged(NamedTuple):
-    """The machines' owner concerns itself with other workers than before."""
+    """The fleet controller has changed the planned-work marks of the service."""
 
     marks: WorkerMarks
     version: int
 
 
 class Tick(NamedTuple):
-    """Time has passed."""
+    """Periodic trigger of decisions that depend on time."""
 
 
 class StopService(NamedTuple):
-    """The host gives the service up, or has lost it."""
+    """The entry host releases the service or has lost its claim."""
 
 
 class ServiceContext(NamedTuple):
-    """What a service's actor needs of its host.
+    """Dependencies of a service's actor.
 
-    ``connect`` makes the calls to a worker. ``lease_limit_s`` is the time beyond which
-    no lease may be given. ``on_lost`` is told that another host owns the service.
-    ``ask_advice`` passes a question on, and its answer back.
+    ``connect`` opens the connection to a worker. ``lease_limit_s`` returns the
+    monotonic time beyond which no lease may be granted. ``on_lost`` is called with the
+    name of the service when another entry host owns it. ``request_advice`` sends a
+    request to the advice service and passes the answer to the given callback.
     """
 
     clock: Clock
@@ -91,7 +92,7 @@
 
 
 class ServiceActor(DaemonActor):
-    """Owns the scheduler of a service and the links to its workers."""
+    """Runs the scheduler of a service and the links to its workers."""
 
     def __init__(
         self,
@@ -100,7 +101,7 @@
         publish: Callable[[PoolSnapshot], None],
     ) -> None:
         """
-        :param publish: takes the load of the workers when it may have changed.
+        :param publish: receives a load snapshot when the load may have changed.
         """
         super().__init__()
         self._publish = publish
@@ -111,8 +112,8 @@
         self._is_committing = False
         self._links: dict[str, WorkerLink] = {}
         self._handled_count = 0
-        self._is_load_due = False
-        self._next_load_s = 0.0
+        self._is_snapshot_due = False
+        self._next_snapshot_s = 0.0
         self._is_stopped = False
 
     def handle(self, message: object) -> object:
@@ -120,7 +121,10 @@
             return None
         self._apply(message)
         self._handled_count += 1
-        if self.actor_inbox.empty() or self._handled_count >= BATCH_COUNT:
+        if (
+            self.actor_inbox.empty()
+            or self._handled_count >= MESSAGES_PER_DECISION_COUNT
+        ):
             self._handled_count = 0
             self._decide()
         return None
@@ -136,17 +140,17 @@
                 self._apply_commit(message, now_s)
             case JobRowsChanged():
                 scheduler.apply_job_rows(message.rows, now_s, self._now_ms())
-                self._is_load_due = True
+                self._is_snapshot_due = True
             case RegistrationsChanged():
                 scheduler.reports.apply_registrations(message.registrations, now_s)
             case Tick():
                 scheduler.tick(now_s, self._now_ms())
-                self._is_load_due = True
+                self._is_snapshot_due = True
             case AdviceResult():
                 scheduler.apply_advice(message, now_s)
             case MarksChanged():
                 scheduler.reports.apply_marks(message.marks, message.version)
-                self._is_load_due = True
+                self._is_snapshot_due = True
             case Committer():
                 self._committer = message
             case StopService():
@@ -172,9 +176,11 @@
             case StopResult():
                 scheduler.reports.apply_stop(message.order, message.reply, now_s)
             case WorkerReplaced():
-                scheduler.reports.replace(message.worker_id, now_s)
+                scheduler.reports.apply_replacement(message.worker_id, now_s)
             case EpochSuperseded():
-                self._handle_lost_ownership(f"worker {message.worker_id} has seen a higher epoch")
+                self._handle_lost_ownership(
+                    f"worker {message.worker_id} has seen a higher epoch"
+                )
 
     def _now_ms(self) -> int:
         return int(self._clock.now().timestamp() * 1000)
@@ -182,13 +188,13 @@
     def _apply_commit(self, result: CommitResult, now_s: float) -> None:
         self._is_committing = False
         if result.outcome is CommitOutcome.LOST:
-            self._handle_lost_ownership("another host has claimed the service")
+            self._handle_lost_ownership("another entry host has claimed the service")
             return
         self._scheduler.apply_commit(result.commit, now_s)
-        for item in result.commit.acknowledgements:
-            link = self._links.get(item.worker_id)
+        for acknowledgement in result.commit.acknowledgements:
+            link = self._links.get(acknowledgement.worker_id)
             if link is not None:
-                link.acknowledge(item.number)
+                link.acknowledge(acknowledgement.number)
 
     def _handle_lost_ownership(self, reason: str) -> None:
         _log.warning("service_lost", service=self._scheduler.service, reason=reason)
@@ -215,13 +221,13 @@
                 self._is_committing = True
                 self._committer.submit(commit)
         for order in self._scheduler.take_orders():
-            self._send(order)
-        if self._is_load_due and now_s >= self._next_load_s:
-            self._is_load_due = False
-            self._next_load_s = now_s + LOAD_INTERVAL_S
+            self._send_order(order)
+        if self._is_snapshot_due and now_s >= self._next_snapshot_s:
+            self._is_snapshot_due = False
+            self._next_snapshot_s = now_s + SNAPSHOT_INTERVAL_S
             self._publish(self._scheduler.snapshot(now_s))
 
-    def _send(self, order: object) -> None:
+    def _send_order(self, order: object) -> None:
         if isinstance(order, AdviceRequest):
             notify = partial(tell_if_alive, self.actor_ref)
             self._context.request_advice(order, notify)
@@ -236,9 +242,9 @@
             self._links.pop(worker_id).close()
         for worker_id, worker in workers.items():
             if worker_id not in self._links and worker.registration.address:
-                self._links[worker_id] = self._open(worker.registration)
+                self._links[worker_id] = self._open_link(worker.registration)
 
-    def _open(self, registration: WorkerRegistration) -> WorkerLink:
+    def _open_link(self, registration: WorkerRegistration) -> WorkerLink:
         link = WorkerLink(
             registration.worker_id,
             self._context.connect(registration),
--- a/src/sycamorecroft/scheduling/task_placer.py
+++ b/src/sycamorecroft/scheduling/task_placer.py
@@ -1,10 +1,10 @@
-"""Assigns waiting tasks to workers that have room."""
+"""Assigns waiting tasks to workers with free capacity."""
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
 from sycamorecroft.scheduling.advice import ApprovalCache, StepId
-from sycamorecroft.scheduling.jobs import Job, Run, RunPhase, Task
 from sycamorecroft.scheduling.job_ranking import job_rank
+from sycamorecroft.scheduling.jobs import Job, Run, RunPhase, Task
 from sycamorecroft.scheduling.orders import OrderQueue
 from sycamorecroft.scheduling.placement import choose_worker
 from sycamorecroft.scheduling.rows import JobState
@@ -13,7 +13,7 @@
 
 def step_of(task: Task) -> StepId:
     """
-    :returns: the step that the task belongs to.
+    :returns: id of the step that the task belongs to.
     """
     return StepId(task.id.job_id, task.id.occurrence, task.id.step)
 
@@ -24,17 +24,17 @@
     def __init__(
         self,
         workers: Mapping[str, Worker],
-        advice: ApprovalCache,
+        approvals: ApprovalCache,
         orders: OrderQueue,
         on_assigned: Callable[[Job], None],
         is_commit_full: Callable[[], bool],
     ) -> None:
         """
-        :param on_assigned: told of each job whose progress has changed.
-        :param is_commit_full: whether the next commit can hold no more jobs.
+        :param on_assigned: called with the job of each task that was assigned.
+        :param is_commit_full: returns whether the next commit is full.
         """
         self._workers = workers
-        self._advice = advice
+        self._approvals = approvals
         self._orders = orders
         self._on_assigned = on_assigned
         self._is_commit_full = is_commit_full
@@ -42,7 +42,7 @@
     def place(self, jobs: Iterable[Job], now_s: float) -> bool:
         """Assigns tasks in the order of their jobs' ranks.
 
-        :returns: whether tasks were left since the next commit has no room for them.
+        :returns: whether tasks were left unplaced because the next commit is full.
         """
         workers = [w for w in self._workers.values() if w.accepts_tasks(now_s)]
         if not workers:
@@ -77,7 +77,7 @@
     def _approved_workers(
         self, tasks: Sequence[Task], workers: Sequence[Worker], now_s: float
     ) -> list[Worker]:
-        """Asks about workers with room where the approved ones don't do."""
+        """Returns approved workers; requests more approvals if no task fits on them."""
         approved = [w for w in workers if self.ticket(tasks[0], w.id, now_s)]
         waiting = [task for task in tasks if task.is_waiting]
         if any(choose_worker(approved, task, now_s) for task in waiting):
@@ -85,8 +85,8 @@
         others = [w for w in workers if w not in approved]
         others = [w for w in others if choose_worker((w,), waiting[0], now_s)]
         others.sort(key=lambda worker: -worker.free.cpu_millicores)
-        names = [worker.id for worker in others]
-        request = self._advice.request(step_of(tasks[0]), names, now_s)
+        worker_ids = [worker.id for worker in others]
+        request = self._approvals.next_request(step_of(tasks[0]), worker_ids, now_s)
         if request is not None:
             self._orders.add(request)
         return approved
@@ -94,18 +94,18 @@
     def ticket(self, task: Task, worker_id: str, now_s: float) -> str:
         """
         :returns: ticket for starts of the task on a worker; empty if there is none or
-            the queue needs none.
+            the queue requires none.
         """
         if task.job.queue.advice is None:
             return ""
         worker = self._workers.get(worker_id)
         incarnation_ms = worker.incarnation_ms if worker else 0
-        return self._advice.ticket(step_of(task), worker_id, incarnation_ms, now_s)
+        return self._approvals.ticket(step_of(task), worker_id, incarnation_ms, now_s)
 
     def _place_gang(
         self, tasks: Sequence[Task], workers: Sequence[Worker], now_s: float
     ) -> None:
-        """Places all members or none; they share the number of their attempt."""
+        """Places all members of a gang or none; they share one attempt number."""
         if not all(task.is_waiting for task in tasks):
             return
         attempt = max(task.attempt for task in tasks)
--- a/src/sycamorecroft/scheduling/tests/test_commit_queue.py
+++ b/src/sycamorecroft/scheduling/tests/test_commit_queue.py
@@ -1,4 +1,4 @@
-"""Tests of what is stored first when a commit can't hold all, named by load pattern."""
+"""Tests of which changes are committed first under overload, named by load pattern."""
 
 from standins.service_driver import ServiceDriver, Site, queue_of, step_of
 from sycamorecroft.scheduling.commit_queue import JOBS_PER_COMMIT_COUNT, CommitQueue
@@ -12,8 +12,8 @@
     return Job(job_id, row, 100.0, 100_000)
 
 
-def test_backlog_of_late_jobs_does_not_delay_commits_of_jobs_in_time():
-    """Guards against a slow store that stores ends of late jobs before new starts."""
+def test_backlog_of_late_jobs_does_not_delay_commits_of_timely_jobs():
+    """Guards against commits of late jobs before those of jobs that can be in time."""
     queue = CommitQueue(retention_s=60.0)
     for number in range(2 * JOBS_PER_COMMIT_COUNT):
         queue.mark_dirty(_job(f"late{number}", 80_000))
@@ -24,8 +24,8 @@
     assert not commit.acknowledgements
 
 
-def test_tasks_that_the_next_commit_cannot_hold_take_no_room():
-    """Guards against room that waits for commits while the store is slow."""
+def test_tasks_beyond_the_next_commit_allocate_no_capacity():
+    """Guards against capacity that is allocated but unused while the store is slow."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     owner.steps(2)
--- a/src/sycamorecroft/scheduling/tests/test_placement.py
+++ b/src/sycamorecroft/scheduling/tests/test_placement.py
@@ -1,11 +1,11 @@
-"""Tests of the choice of a worker and of the order of jobs, named by load pattern."""
+"""Tests of worker choice and job ranking, named by load pattern."""
 
 import pytest
 
 from standins.service_driver import ServiceDriver, Site, entry_of, queue_of, step_of
+from sycamorecroft.scheduling.job_ranking import job_rank, objective_end_s
 from sycamorecroft.scheduling.jobs import Job
 from sycamorecroft.scheduling.model import JobSpec
-from sycamorecroft.scheduling.job_ranking import job_rank, objective_end_s
 from sycamorecroft.scheduling.rows import JobRow
 
 
@@ -13,7 +13,7 @@
     return {name: set(worker.running) for name, worker in site.workers.items()}
 
 
-def test_limit_of_tasks_on_one_worker():
+def test_tasks_per_worker_limit_is_kept():
     """Guards against more tasks of a step on a worker than the step allows."""
     site = Site(workers_count=3)
     owner = ServiceDriver(site, 1)
@@ -22,8 +22,8 @@
     assert [len(names) for names in _running(site).values()] == [1, 1, 1]
 
 
-def test_required_label():
-    """Guards against a task on a worker that lacks what it needs."""
+def test_tasks_run_only_on_workers_with_the_required_label():
+    """Guards against a task on a worker without the label that it requires."""
     site = Site(workers_count=2)
     site.entries["w1"] = site.entries["w1"]._replace(labels=("b", "r1"))
     owner = ServiceDriver(site, 1)
@@ -32,8 +32,8 @@
     assert [len(names) for names in _running(site).values()] == [0, 3]
 
 
-def test_rack_of_the_data_goes_first():
-    """Guards against tasks far from their data while there is room near it."""
+def test_preferred_rack_is_chosen_first():
+    """Guards against tasks far from their data while nearer workers have capacity."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(4, preferred_rack="r1"))
@@ -42,7 +42,7 @@
 
 
 def test_capacity_is_never_exceeded():
-    """Guards against a start that brings a worker over its capacity."""
+    """Guards against starts that exceed the capacity of a worker."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(30, 3000))
@@ -51,7 +51,7 @@
 
 
 def test_tasks_are_packed_while_demand_is_low():
-    """Guards against a pool whose workers are all busy a little and can't leave."""
+    """Guards against a pool of lightly loaded workers that can't be released."""
     site = Site(workers_count=4)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(8, 1000))
@@ -59,20 +59,20 @@
     assert sorted(map(len, _running(site).values())) == [0, 0, 0, 8]
 
 
-def test_tasks_go_first_to_workers_that_must_stay():
-    """Guards against workers kept in a pool for one short task each."""
+def test_short_tasks_prefer_workers_with_long_running_tasks():
+    """Guards against workers that stay in a pool for a single short task each."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(1, is_long_running=True))
     owner.steps(4)
-    staying = next(name for name, running in _running(site).items() if running)
+    shared = next(name for name, running in _running(site).items() if running)
     site.submit("j2", step_of(3, 1000))
     owner.steps(4)
-    assert len(_running(site)[staying]) == 4
+    assert len(_running(site)[shared]) == 4
 
 
 def test_long_running_tasks_spread_over_racks():
-    """Guards against a rack whose failure takes a whole service."""
+    """Guards against a rack failure that stops all tasks of a step."""
     site = Site(workers_count=0)
     for number in range(4):
         name = f"w{number}"
@@ -91,23 +91,23 @@
     return Job(job_id, row, 100.0, 100_000)
 
 
-def test_flood_of_late_jobs_does_not_delay_those_that_can_be_in_time():
-    """Guards against overload that makes every job late, one after the other."""
+def test_flood_of_late_jobs_does_not_delay_timely_jobs():
+    """Guards against overload that makes one job after the other late."""
     late = _job("late", accepted_ms=90_000)
     fresh = _job("fresh", accepted_ms=99_900)
     assert job_rank(fresh, 100.0) < job_rank(late, 100.0)
 
 
-def test_flood_of_jobs_that_will_be_late_does_not_delay_the_others():
-    """Guards against room for jobs that end late even if they start now."""
-    hopeless = _job("hopeless", accepted_ms=98_500)
+def test_flood_of_jobs_that_will_be_late_does_not_delay_timely_jobs():
+    """Guards against preferring jobs that miss their objective even if started now."""
+    doomed = _job("doomed", accepted_ms=98_500)
     fresh = _job("fresh", accepted_ms=99_900)
-    assert objective_end_s(hopeless) > 100.0
-    assert job_rank(fresh, 100.0) < job_rank(hopeless, 100.0)
+    assert objective_end_s(doomed) > 100.0
+    assert job_rank(fresh, 100.0) < job_rank(doomed, 100.0)
 
 
-def test_steps_that_have_ended_take_no_more_time():
-    """Guards against a job that is given up shortly before its end."""
+def test_completed_steps_do_not_count_as_remaining_time():
+    """Guards against ranking an almost complete job as late."""
     job = _job("j", accepted_ms=98_500)
     fresh = _job("fresh", accepted_ms=99_900)
     job.start_due_occurrences(100.0, 100_000)
@@ -116,21 +116,21 @@
     assert job_rank(job, 100.0) < job_rank(fresh, 100.0)
 
 
-def test_urgent_queue_goes_before_a_flood_of_less_urgent_jobs():
-    """Guards against urgent jobs behind a flood of another queue."""
+def test_flood_of_less_urgent_jobs_does_not_delay_an_urgent_queue():
+    """Guards against urgent jobs that wait behind a flood in another queue."""
     urgent = _job("urgent", accepted_ms=99_900, priority=0)
     other = _job("other", accepted_ms=99_000, priority=1)
     assert job_rank(urgent, 100.0) < job_rank(other, 100.0)
 
 
-def test_long_running_tasks_go_before_a_flood_of_short_jobs():
-    """Guards against a service that stays down while short jobs take all room."""
+def test_flood_of_short_jobs_does_not_delay_long_running_jobs():
+    """Guards against a service that stays down while short jobs take all capacity."""
     service = _job("service", accepted_ms=99_990, is_long_running=True)
     short = _job("short", accepted_ms=99_000)
     assert job_rank(service, 100.0) < job_rank(short, 100.0)
 
 
-def test_objective_counts_from_the_submission():
-    """Guards against an objective that starts anew with each owner."""
+def test_objective_is_measured_from_submission():
+    """Guards against an objective that restarts with each change of owner."""
     job = _job("j", accepted_ms=98_000)
     assert objective_end_s(job) == pytest.approx(98.0 + 1.6 + 0.6)
--- a/src/sycamorecroft/scheduling/tests/test_scheduler.py
+++ b/src/sycamorecroft/scheduling/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Tests of the scheduler: starts, ends, takeover and faults of workers."""
+"""Tests of the scheduler: starts, outcomes, takeover and worker faults."""
 
 from standins.service_driver import (
     PROGRESS,
@@ -15,7 +15,7 @@
 
 
 def test_job_runs_its_steps_in_order():
-    """Guards against a start before the tasks of an earlier step have ended."""
+    """Guards against a start before the tasks of an earlier step are done."""
     site = Site()
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(2), step_of(1, after=(0,)))
@@ -37,8 +37,8 @@
     assert site.state("j1") is JobState.COMPLETE
 
 
-def test_end_is_acknowledged_only_after_it_is_stored():
-    """Guards against an end that is forgotten by the worker and stored nowhere."""
+def test_outcome_is_acknowledged_only_after_it_is_stored():
+    """Guards against an outcome that the worker drops before it is stored."""
     site = Site(workers_count=1)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(1))
@@ -53,7 +53,7 @@
 
 
 def test_assignment_is_stored_before_the_start():
-    """Guards against a start that a later owner knows nothing of."""
+    """Guards against a start of which a later owner finds no record."""
     site = Site(workers_count=1)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(1))
@@ -85,7 +85,7 @@
 
 
 def test_takeover_keeps_running_tasks():
-    """Guards against a second start of what runs on under a former owner's lease."""
+    """Guards against restarting a task that runs under a former owner's lease."""
     site = Site()
     former = ServiceDriver(site, 1)
     site.submit("j1", step_of(3))
@@ -99,8 +99,8 @@
     assert site.state("j1") is JobState.COMPLETE
 
 
-def test_takeover_waits_for_the_lease_of_a_worker_out_of_reach():
-    """Guards against a second run while the first goes on behind a partition."""
+def test_takeover_waits_for_the_lease_of_an_unreachable_worker():
+    """Guards against a second run while the first continues behind a partition."""
     site = Site()
     former = ServiceDriver(site, 1)
     site.submit("j1", step_of(1))
@@ -114,11 +114,11 @@
     assert site.started_count("j1.0.0.0") == 2
 
 
-def test_takeover_asks_a_worker_before_it_gives_up_its_runs():
-    """Guards against a second run of a task whose end the worker still lists.
+def test_takeover_reads_run_lists_before_it_expires_runs():
+    """Guards against a second run of a task whose outcome the worker still lists.
 
-    Found by the soak with seed 2: the former owner was dead for so long that its leases
-    were over, and the new one started tasks again 10 ms after it had loaded them.
+    When the former owner's leases had already expired at the takeover, the new owner
+    started tasks again 10 ms after loading them (fault soak, seed 2).
     """
     site = Site()
     former = ServiceDriver(site, 1)
@@ -135,7 +135,7 @@
 
 
 def test_start_without_an_answer_is_stopped_before_a_second_one():
-    """Guards against two runs when the answer to a start is lost."""
+    """Guards against two runs of a task when the answer to a start is lost."""
     site = Site()
     owner = ServiceDriver(site, 1)
     owner.steps(2)
@@ -152,8 +152,8 @@
     assert sum(len(w.running) for w in site.workers.values()) == 1
 
 
-def test_failed_task_is_retried_until_its_attempts_are_used_up():
-    """Guards against starts beyond the attempts of a queue."""
+def test_failed_task_is_retried_up_to_the_attempts_of_its_queue():
+    """Guards against more starts than the queue's number of attempts."""
     site = Site(workers_count=3)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(1), queue=queue_of(attempts_count=2))
@@ -167,7 +167,7 @@
 
 
 def test_cancelled_job_is_stopped():
-    """Guards against tasks that run on after the job was cancelled."""
+    """Guards against tasks that continue to run after their job was cancelled."""
     site = Site()
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(4))
@@ -178,8 +178,8 @@
     assert site.state("j1") is JobState.CANCELLED
 
 
-def test_job_submitted_again_after_its_end_does_not_run_again():
-    """Guards against a second job under the id of one that has ended."""
+def test_ended_job_that_is_submitted_again_does_not_run_again():
+    """Guards against a second execution of a job under the same id."""
     site = Site()
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(1))
@@ -192,8 +192,8 @@
     assert site.started_count("j1.0.0.0") == 1
 
 
-def test_restarted_worker_has_lost_its_runs():
-    """Guards against waiting for the end of a run that a crash has ended."""
+def test_runs_of_a_restarted_worker_are_expired():
+    """Guards against waiting for the outcome of a run that a crash has ended."""
     site = Site(workers_count=1)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(1))
@@ -206,8 +206,8 @@
     assert site.started_count("j1.0.0.0") == 2
 
 
-def test_gang_starts_whole_or_not_at_all():
-    """Guards against members that hold room while they wait for the others."""
+def test_gang_starts_all_members_or_none():
+    """Guards against gang members that occupy capacity while they wait for others."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(3, 6000, is_gang=True))
@@ -220,8 +220,8 @@
     assert attempts == [1, 1, 1]
 
 
-def test_worker_that_fails_the_tasks_of_several_jobs_is_quarantined():
-    """Guards against a worker that fails everything and so attracts all tasks."""
+def test_worker_that_fails_tasks_of_several_jobs_is_quarantined():
+    """Guards against a faulty worker that fails tasks fast and so attracts more."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     for number in range(4):
@@ -234,21 +234,21 @@
     assert len(site.workers["w1"].running) == 4
 
 
-def test_failed_task_goes_to_another_worker():
-    """Guards against a job that loses its last attempt on a worker that fails all."""
+def test_failed_task_is_retried_on_another_worker():
+    """Guards against a job that uses up its attempts on one faulty worker."""
     site = Site(workers_count=3)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(1), queue=queue_of(attempts_count=2))
     owner.steps(3)
-    first = next(n for n, w in site.workers.items() if w.running)
-    site.workers[first].end_all(RunOutcome.FAILED)
+    failed = next(n for n, w in site.workers.items() if w.running)
+    site.workers[failed].end_all(RunOutcome.FAILED)
     owner.steps(3)
-    assert not site.workers[first].running
+    assert not site.workers[failed].running
     assert sum(len(w.running) for w in site.workers.values()) == 1
 
 
 def test_last_attempt_waits_for_another_worker():
-    """Guards against a last attempt on the worker that has just failed the task."""
+    """Guards against a last attempt on the worker on which the task has just failed."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     site.submit("j0", step_of(1, 8000, required_label="r1"))
@@ -263,8 +263,8 @@
     assert "j1.0.0.0" in site.workers["w1"].running
 
 
-def test_slow_worker_gets_tasks_last():
-    """Guards against jobs that all wait for the slowest worker of a pool."""
+def test_slow_worker_is_ranked_last():
+    """Guards against jobs that are delayed by the slowest worker of a pool."""
     site = Site(workers_count=3)
     owner = ServiceDriver(site, 1)
     owner.steps(2)
@@ -276,8 +276,8 @@
     assert not site.workers["w0"].running
 
 
-def test_worker_on_which_tasks_stand_still_gets_tasks_last():
-    """Guards against new tasks on a worker that answers and does nothing."""
+def test_worker_with_a_stalled_task_is_ranked_last():
+    """Guards against new tasks on a worker that answers but makes no progress."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(1))
@@ -290,8 +290,8 @@
     assert len(site.workers[stalled].running) == 1
 
 
-def test_advised_queue_runs_on_approved_workers_with_tickets():
-    """Guards against starts that each worker rejects for want of a ticket."""
+def test_queue_with_advice_runs_on_approved_workers_with_tickets():
+    """Guards against starts that workers reject because the ticket is missing."""
     site = Site(workers_count=3)
     owner = ServiceDriver(site, 1)
     owner.approved_workers = {"w1"}
@@ -303,8 +303,8 @@
     assert len(owner.questions) == 1
 
 
-def test_expired_ticket_is_asked_for_again_and_a_refusal_is_not():
-    """Guards against starts with old tickets, and against asking without end."""
+def test_expired_ticket_is_requested_again_and_a_refused_one_is_not():
+    """Guards against starts with expired tickets, and endless requests if refused."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     owner.approved_workers = {"w1"}
@@ -317,8 +317,8 @@
     assert [q.workers for q in owner.questions[1:]] == [("w1",)]
 
 
-def test_lost_answers_of_the_store_neither_lose_nor_repeat_a_commit():
-    """Guards against a commit that took effect and is believed to have failed."""
+def test_lost_store_answers_neither_lose_nor_repeat_a_commit():
+    """Guards against treating a commit that took effect as failed."""
     site = Site(workers_count=1)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(1))
@@ -332,8 +332,8 @@
     assert not owner.is_lost
 
 
-def test_delayed_commit_does_not_undo_a_later_one():
-    """Guards against old progress that is written over new progress seconds later."""
+def test_delayed_commit_does_not_overwrite_a_later_one():
+    """Guards against old progress that overwrites newer progress seconds later."""
     site = Site(workers_count=1)
     owner = ServiceDriver(site, 1)
     site.submit("j1", step_of(1))
--- a/src/sycamorecroft/scheduling/tests/test_throttling.py
+++ b/src/sycamorecroft/scheduling/tests/test_throttling.py
@@ -1,4 +1,4 @@
-"""Tests of the pace of tasks that fill beside tasks that serve."""
+"""Tests of the throttling of best-effort tasks beside serving tasks."""
 
 import pytest
 
@@ -6,15 +6,15 @@
 
 GOAL_MS = 100
 SERVING = "j1.0.0.0"
-FILLING = "j2.0.0.0"
+BEST_EFFORT = "j2.0.0.0"
 
 
 @pytest.fixture
 def site():
-    found = Site(workers_count=1)
-    found.submit("j1", step_of(1, is_long_running=True, goal_ms=GOAL_MS))
-    found.submit("j2", step_of(1, is_long_running=True, is_best_effort=True))
-    return found
+    new_site = Site(workers_count=1)
+    new_site.submit("j1", step_of(1, is_long_running=True, goal_ms=GOAL_MS))
+    new_site.submit("j2", step_of(1, is_long_running=True, is_best_effort=True))
+    return new_site
 
 
 def _run(site, owner, *, tail_ms, duration_s):
@@ -22,37 +22,37 @@
     owner.steps(round(duration_s / 0.2))
 
 
-def test_filling_task_is_paused_before_the_goal_was_missed_for_long(site):
-    """Guards against a serving task over its goal for four seconds by others' doing."""
+def test_best_effort_task_is_paused_soon_after_the_goal_is_exceeded(site):
+    """Guards against best-effort tasks that slow a serving task for 4 s or longer."""
     owner = ServiceDriver(site, 1)
     _run(site, owner, tail_ms=50, duration_s=2.0)
-    assert FILLING not in site.workers["w0"].paces
+    assert BEST_EFFORT not in site.workers["w0"].paces
     _run(site, owner, tail_ms=150, duration_s=3.6)
-    assert site.workers["w0"].paces[FILLING] == 0
+    assert site.workers["w0"].paces[BEST_EFFORT] == 0
     assert SERVING not in site.workers["w0"].paces
 
 
-def test_filling_task_goes_on_when_there_is_room(site):
-    """Guards against a task that stays paused after the load has passed."""
+def test_best_effort_task_continues_once_response_times_recover(site):
+    """Guards against a task that stays paused after the load has fallen."""
     owner = ServiceDriver(site, 1)
     _run(site, owner, tail_ms=150, duration_s=4.0)
     _run(site, owner, tail_ms=90, duration_s=4.0)
-    assert site.workers["w0"].paces[FILLING] == 0
+    assert site.workers["w0"].paces[BEST_EFFORT] == 0
     _run(site, owner, tail_ms=30, duration_s=12.0)
-    assert site.workers["w0"].paces[FILLING] == 100
+    assert site.workers["w0"].paces[BEST_EFFORT] == 100
 
 
-def test_successor_tells_the_pace_that_it_does_not_know(site):
-    """Guards against a task that stays paused since its owner is gone."""
+def test_new_owner_sets_a_share_that_it_does_not_know(site):
+    """Guards against a task that stays paused after its owner was replaced."""
     former = ServiceDriver(site, 1)
     _run(site, former, tail_ms=150, duration_s=4.0)
     successor = ServiceDriver(site, 2)
     _run(site, successor, tail_ms=30, duration_s=3.0)
-    assert site.workers["w0"].paces[FILLING] == 100
+    assert site.workers["w0"].paces[BEST_EFFORT] == 100
 
 
-def test_pace_without_an_answer_is_told_again(site):
-    """Guards against a limit that the worker has not, or carries out late."""
+def test_throttle_order_without_an_answer_is_repeated(site):
+    """Guards against a limit that the worker never got or applies late."""
     owner = ServiceDriver(site, 1)
     owner.steps(5)
     site.workers["w0"].loses_answers = True
@@ -60,4 +60,4 @@
     site.workers["w0"].loses_answers = False
     site.workers["w0"].paces.clear()
     _run(site, owner, tail_ms=150, duration_s=4.0)
-    assert site.workers["w0"].paces[FILLING] == 0
+    assert site.workers["w0"].paces[BEST_EFFORT] == 0
--- a/src/sycamorecroft/scheduling/tests/test_worker_clock.py
+++ b/src/sycamorecroft/scheduling/tests/test_worker_clock.py
@@ -1,10 +1,10 @@
-"""Tests of the bound on a worker's lease."""
+"""Tests of the bound on the leases of a worker's runs."""
 
 from sycamorecroft.scheduling.worker_clock import WorkerClock
 
 
-def test_lease_of_a_worker_out_of_reach_is_not_extended():
-    """Guards against a lease that each failed attempt to reach a worker extends."""
+def test_lease_of_an_unreachable_worker_is_not_extended():
+    """Guards against a lease that is extended by each unanswered call."""
     clock = WorkerClock(6.0)
     clock.observe(1000, 10.0)
     clock.record_answer()
@@ -16,7 +16,7 @@
 
 
 def test_lease_end_allows_for_a_slow_clock():
-    """Guards against a second run while a slow worker still has its lease."""
+    """Guards against a second run while a worker with a slow clock keeps its lease."""
     clock = WorkerClock(6.0)
     clock.observe(1000, 10.0)
     clock.record_answer()
@@ -24,14 +24,14 @@
     assert clock.lease_end_s() >= 10.0 + 6.0 / 0.98
 
 
-def test_no_lease_beyond_the_limit_of_an_owner_without_the_store():
-    """Guards against leases of a former owner that outlast the takeover's wait."""
+def test_lease_does_not_exceed_the_limit_during_a_store_outage():
+    """Guards against leases of a former owner that outlast the wait of a takeover."""
     clock = WorkerClock(6.0)
     clock.observe(1000, 10.0)
     clock.record_answer()
     assert clock.extend(10.0, 12.0) == 3000
 
 
-def test_first_list_has_no_deadline():
-    """Guards against a deadline on a clock that was never read."""
+def test_first_renewal_has_no_deadline():
+    """Guards against a deadline on a worker clock that isn't known yet."""
     assert WorkerClock(6.0).extend(10.0, 100.0) is None
--- a/src/sycamorecroft/scheduling/throttling.py
+++ b/src/sycamorecroft/scheduling/throttling.py
@@ -1,8 +1,8 @@
-"""Slows down tasks that fill beside tasks that serve, when these are over their goal.
+"""Throttles best-effort tasks that slow down serving tasks on the same worker.
 
-The share of filling tasks is halved while a serving task of the same worker is over its
-goal, and raised in small steps while all are well below theirs. Source of the idea:
-additive increase, multiplicative decrease; Chiu and Jain, 1989.
+The share of best-effort tasks is halved while a serving task of the same worker exceeds
+its response-time goal, and raised in small steps while all are well below their goals.
+This is additive increase, multiplicative decrease (Chiu and Jain, 1989).
 """
 
 from collections.abc import Iterable, Iterator
@@ -12,13 +12,14 @@
 from sycamorecroft.scheduling.workers import Worker
 
 FULL_PERCENT = 100
-# Below this share a filling task is paused: four steps lead there from full speed.
+# Below this share a best-effort task is paused, which takes four steps from 100 %.
 MIN_PERCENT = 10
 RAISE_PERCENT = 20
-# A change shows in the response times of the last half second, told once a second.
+# Workers report, once a second, the response times of the last half second; a change of
+# share takes that long to show.
 LOWER_INTERVAL_S = 0.8
 RAISE_INTERVAL_S = 2.0
-# Shares are raised only while response times are below this part of their goal.
+# Shares are raised only while response times are below this ratio of their goals.
 RAISE_BELOW_GOAL_RATIO = 0.7
 
 
@@ -45,13 +46,16 @@
         return
     peak_goal_ratio = max((_goal_ratio(run) for run in running), default=0.0)
     since_change_s = now_s - worker.throttled_s
-    least_percent = min(_known_percent(run) for run in best_effort_runs)
+    lowest_percent = min(_known_percent(run) for run in best_effort_runs)
     if peak_goal_ratio > 1.0:
-        new_percent = least_percent // 2 if least_percent // 2 >= MIN_PERCENT else 0
+        new_percent = lowest_percent // 2 if lowest_percent // 2 >= MIN_PERCENT else 0
         is_due = since_change_s >= LOWER_INTERVAL_S
     else:
-        new_percent = min(FULL_PERCENT, least_percent + RAISE_PERCENT)
-        is_due = since_change_s >= RAISE_INTERVAL_S and peak_goal_ratio < RAISE_BELOW_GOAL_RATIO
+        new_percent = min(FULL_PERCENT, lowest_percent + RAISE_PERCENT)
+        is_due = (
+            since_change_s >= RAISE_INTERVAL_S
+            and peak_goal_ratio < RAISE_BELOW_GOAL_RATIO
+        )
     changed = [run for run in best_effort_runs if run.share_percent != new_percent]
     if not is_due or not changed:
         return
@@ -66,7 +70,7 @@
 
 def _goal_ratio(run: Run) -> float:
     """
-    :returns: response times of a serving task against their goal; 0 for other tasks.
+    :returns: ratio of a serving task's response times to their goal; 0 for other tasks.
     """
     spec = run.task.spec
     if spec.is_best_effort or not spec.goal_ms:
--- a/src/sycamorecroft/scheduling/worker_clock.py
+++ b/src/sycamorecroft/scheduling/worker_clock.py
@@ -1,22 +1,22 @@
-"""A worker's steady clock as seen from outside, and the lease that it keeps."""
+"""Estimates a worker's monotonic clock and bounds the leases of its runs."""
 
 import threading
 
-# A worker's clock may be this much slower than ours.
+# Maximum ratio by which a worker's clock may run slower than the local clock.
 CLOCK_DRIFT_RATIO = 0.02
 
 
 class WorkerClock:
-    """Relates a worker's clock to ours and bounds the lease. Thread-safe.
+    """Relates a worker's clock to the local clock and bounds leases. Thread-safe.
 
-    Only a list of runs extends the lease, and only after the last one was answered:
-    an order without an answer may be carried out, so that a worker out of reach would
-    otherwise get a longer lease with each attempt to reach it.
+    A lease is extended only by a call that renews leases, and only after the previous
+    such call was answered. A call without an answer may still take effect, so that each
+    attempt to call an unreachable worker would otherwise extend the lease.
     """
 
     def __init__(self, lease_s: float) -> None:
         """
-        :param lease_s: how long the worker goes on without being reached.
+        :param lease_s: time in s for which runs continue without a renewal.
         """
         self._lease_s = lease_s
         self._lock = threading.Lock()
@@ -26,7 +26,11 @@
         self._is_answered = False
 
     def observe(self, clock_ms: int, now_s: float) -> None:
-        """Records the worker's clock as it was in an answer that arrived now."""
+        """Records the worker's clock from an answer that arrived now.
+
+        :param clock_ms: time on the worker's clock; 0 if the answer had none.
+        :param now_s: local monotonic time.
+        """
         if not clock_ms:
             return
         with self._lock:
@@ -34,21 +38,22 @@
             self._observed_s = now_s
 
     def restart(self) -> None:
-        """The worker started again: its clock and its lease begin anew."""
+        """Resets the clock and the lease after a restart of the worker."""
         with self._lock:
             self._clock_ms = None
             self._deadline_ms = 0
 
     def record_answer(self) -> None:
-        """Records that a list of runs was answered."""
+        """Records that a call to renew leases was answered."""
         with self._lock:
             self._is_answered = True
 
     def extend(self, now_s: float, limit_s: float) -> int | None:
-        """Extends the lease for the next list of runs.
+        """Extends the lease for the next call that renews leases.
 
-        :param limit_s: time beyond which no lease may be given.
-        :returns: deadline on the worker's clock, or ``None`` when that isn't known.
+        :param limit_s: local monotonic time beyond which no lease may be granted.
+        :returns: deadline in ms on the worker's clock, or ``None`` while that clock is
+            unknown.
         """
         with self._lock:
             if self._clock_ms is None:
@@ -62,12 +67,13 @@
 
     @property
     def deadline_ms(self) -> int:
-        """Latest deadline that was given."""
+        """Latest deadline granted, in ms on the worker's clock; 0 if none."""
         return self._deadline_ms
 
     def lease_end_s(self) -> float:
         """
-        :returns: time by which the worker has reached the latest deadline.
+        :returns: local monotonic time by which the worker's clock has passed the latest
+            deadline, even if it runs slow.
         """
         with self._lock:
             if self._clock_ms is None:
--- a/src/sycamorecroft/scheduling/worker_link.py
+++ b/src/sycamorecroft/scheduling/worker_link.py
@@ -1,7 +1,7 @@
 """Connection of a service's owner to one worker.
 
-One thread asks for the list of runs, which also extends the lease and waits for ends;
-another gives orders, so that an order never waits for a list.
+One thread renews the leases of the worker's runs and waits for the run list; another
+sends orders, so that an order never waits for a run list.
 """
 
 import queue
@@ -18,14 +18,14 @@
     WorkerReplacedError,
 )
 from sycamorecroft.scheduling.calls import (
-    RenewalReply,
     OrderReply,
     OrderStatus,
+    RenewalReply,
     StartOrder,
     WorkerCalls,
 )
 from sycamorecroft.scheduling.jobs import Run
-from sycamorecroft.scheduling.orders import ThrottleTask, StartTask, StopTask
+from sycamorecroft.scheduling.orders import StartTask, StopTask, ThrottleTask
 from sycamorecroft.scheduling.worker_clock import WorkerClock
 
 _log = structlog.get_logger(__name__)
@@ -33,12 +33,12 @@
 RUN_LIST_WAIT_MS = 1000
 RETRY_MIN_S = 0.1
 RETRY_MAX_S = 1.0
-# How long the next list of runs waits for the ends of the last one to be stored.
+# How long the next renewal waits until the outcomes in the last run list are stored.
 ACKNOWLEDGE_WAIT_S = 1.0
 
 
 class RenewalSucceeded(NamedTuple):
-    """Answer to a list of runs; times are of the owner's clock."""
+    """The worker renewed the leases of its runs; times are on the owner's clock."""
 
     worker_id: str
     reply: RenewalReply
@@ -48,20 +48,20 @@
 
 
 class RenewalFailed(NamedTuple):
-    """A worker gave no list of runs."""
+    """The call to renew leases wasn't answered, or the answer was malformed."""
 
     worker_id: str
     lease_end_s: float
 
 
 class WorkerReplaced(NamedTuple):
-    """Another worker answers at the address."""
+    """Another worker answers at the worker's address."""
 
     worker_id: str
 
 
 class EpochSuperseded(NamedTuple):
-    """A worker has seen a higher epoch."""
+    """The worker has seen a higher epoch: another entry host owns the service."""
 
     worker_id: str
 
@@ -81,7 +81,7 @@
 
 
 class ThrottleResult(NamedTuple):
-    """Outcome of an order to limit a run's share."""
+    """Outcome of an order to throttle a run."""
 
     order: ThrottleTask
     reply: OrderReply
@@ -91,7 +91,7 @@
 
 
 class WorkerLink:
-    """Threads that call one worker and tell the owner's actor of the answers."""
+    """Threads that call one worker and pass the answers to the owner's actor."""
 
     def __init__(
         self,
@@ -103,7 +103,9 @@
         lease_limit_s: Callable[[], float],
     ) -> None:
         """
-        :param lease_limit_s: time beyond which no lease may be given now.
+        :param notify: receives the outcome of each call.
+        :param lease_limit_s: returns the monotonic time beyond which no lease may be
+            granted.
         """
         self.worker_id = worker_id
         self._calls = calls
@@ -115,29 +117,29 @@
             queue.SimpleQueue()
         )
         self._acknowledged = 0
-        self._born_ms = 0
-        self._acknowledge = threading.Event()
+        self._incarnation_ms = 0
+        self._outcomes_stored = threading.Event()
         self._closed = threading.Event()
 
     def start(self) -> None:
-        """Starts the threads."""
+        """Starts both threads."""
         for action in (self._renew_leases_repeatedly, self._send_orders):
             threading.Thread(target=action, name="worker-link", daemon=True).start()
 
     def close(self) -> None:
-        """Ends the threads; calls in progress are not waited for."""
+        """Stops both threads without waiting for calls in progress."""
         self._closed.set()
-        self._acknowledge.set()
+        self._outcomes_stored.set()
         self._orders.put(None)
 
     def enqueue(self, order: StartTask | StopTask | ThrottleTask) -> None:
-        """Queues an order."""
+        """Adds an order to the queue of orders to be sent."""
         self._orders.put(order)
 
     def acknowledge(self, number: int) -> None:
-        """Has the next list acknowledge all ends up to ``number``."""
+        """Acknowledges finished runs up to ``number`` in the next call."""
         self._acknowledged = number
-        self._acknowledge.set()
+        self._outcomes_stored.set()
 
     def _renew_leases_repeatedly(self) -> None:
         retry_s = RETRY_MIN_S
@@ -149,15 +151,15 @@
                 retry_s = min(RETRY_MAX_S, retry_s * 2)
                 continue
             retry_s = RETRY_MIN_S
-            # The first list tells the worker's clock; the next one gives the lease.
+            # The first answer gives the worker's clock; the next call sets a deadline.
             wait_ms = RUN_LIST_WAIT_MS if self._worker_clock.deadline_ms else 0
             if result.finished:
-                self._acknowledge.wait(ACKNOWLEDGE_WAIT_S)
+                self._outcomes_stored.wait(ACKNOWLEDGE_WAIT_S)
 
     def _renew_leases(self, wait_ms: int) -> RenewalReply | None:
         sent_s = self._clock.monotonic_s()
         deadline_ms = self._worker_clock.extend(sent_s, self._lease_limit_s())
-        self._acknowledge.clear()
+        self._outcomes_stored.clear()
         try:
             reply = self._calls.renew_leases(
                 acknowledged=self._acknowledged,
@@ -165,8 +167,10 @@
                 wait_ms=wait_ms,
             )
         except WorkerCallError as error:
-            _log.debug("hold_failed", worker=self.worker_id, error=str(error))
-            self._notify(RenewalFailed(self.worker_id, self._worker_clock.lease_end_s()))
+            _log.debug("lease_renewal_failed", worker=self.worker_id, error=str(error))
+            self._notify(
+                RenewalFailed(self.worker_id, self._worker_clock.lease_end_s())
+            )
             return None
         except WorkerReplacedError:
             self._notify(WorkerReplaced(self.worker_id))
@@ -175,15 +179,17 @@
             self._notify(EpochSuperseded(self.worker_id))
             return None
         received_s = self._clock.monotonic_s()
-        if reply.incarnation_ms > self._born_ms:
-            # A worker that started again counts its ends and its clock anew.
-            self._born_ms = reply.incarnation_ms
+        if reply.incarnation_ms > self._incarnation_ms:
+            # A restarted worker restarts its clock and its numbers of finished runs.
+            self._incarnation_ms = reply.incarnation_ms
             self._acknowledged = 0
             self._worker_clock.restart()
         self._worker_clock.observe(reply.clock_ms, received_s)
         self._worker_clock.record_answer()
         lease_end_s = self._worker_clock.lease_end_s()
-        self._notify(RenewalSucceeded(self.worker_id, reply, sent_s, received_s, lease_end_s))
+        self._notify(
+            RenewalSucceeded(self.worker_id, reply, sent_s, received_s, lease_end_s)
+        )
         return reply
 
     def _send_orders(self) -> None:
--- a/src/sycamorecroft/scheduling/worker_reports.py
+++ b/src/sycamorecroft/scheduling/worker_reports.py
@@ -1,4 +1,4 @@
-"""What workers tell: their entries, the runs they list, and outcomes of orders."""
+"""Applies workers' registrations, their run lists and the outcomes of orders."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,31 +9,36 @@
 from sycamorecroft.scheduling.advice import ApprovalCache
 from sycamorecroft.scheduling.calls import (
     FinishedRun,
-    RenewalReply,
     OrderReply,
     OrderStatus,
-    RunOutcome,
+    RenewalReply,
     RunningTask,
+    RunOutcome,
 )
 from sycamorecroft.scheduling.commit_queue import CommitQueue
 from sycamorecroft.scheduling.jobs import Run, RunPhase
 from sycamorecroft.scheduling.model import WorkerRegistration
-from sycamorecroft.scheduling.orders import OrderQueue, ThrottleTask, StopTask
+from sycamorecroft.scheduling.orders import OrderQueue, StopTask, ThrottleTask
 from sycamorecroft.scheduling.pool_snapshot import WorkerMarks
 from sycamorecroft.scheduling.run_tracker import RunTracker
 from sycamorecroft.scheduling.task_placer import step_of
-from sycamorecroft.scheduling.worker_health import record_contact_restored, record_contact_lost
+from sycamorecroft.scheduling.worker_health import (
+    record_contact_lost,
+    record_contact_restored,
+)
 from sycamorecroft.scheduling.workers import Worker
 
 _log = structlog.get_logger(__name__)
 
-# A worker lists at most this many ends at a time; a full list says nothing of others.
-FINISHED_PAGE_COUNT = 500
-REJECTED_PAUSE_S = 0.2
+# A run list holds at most this many finished runs. When it holds that many, a run that
+# is absent from it may have finished, too, and isn't treated as expired.
+FINISHED_RUNS_PAGE_COUNT = 500
+# A worker that rejects a start gets no new tasks for this long.
+REJECTED_START_PAUSE_S = 0.2
 
 
 class WorkerReports:
-    """Takes in what the workers of one service tell. Not thread-safe."""
+    """Applies reports of one service's workers to their state. Not thread-safe."""
 
     def __init__(
         self,
@@ -42,39 +47,46 @@
         runs: RunTracker,
         orders: OrderQueue,
         commits: CommitQueue,
-        advice: ApprovalCache,
+        approvals: ApprovalCache,
         recorder: Recorder,
         *,
         former_lease_end_s: float,
         on_capacity_freed: Callable[[], None],
     ) -> None:
         """
-        :param former_lease_end_s: time by which leases of former owners have ended.
-        :param on_room: told when tasks may find room that they didn't before.
+        :param former_lease_end_s: monotonic time by which leases that former owners
+            granted have expired.
+        :param on_capacity_freed: called when waiting tasks may fit that didn't before.
         """
         self._service = service
         self._workers = workers
         self._runs = runs
         self._orders = orders
         self._commits = commits
-        self._advice = advice
+        self._approvals = approvals
         self._recorder = recorder
         self._former_lease_end_s = former_lease_end_s
         self._on_capacity_freed = on_capacity_freed
         self._marks = WorkerMarks()
         self.marks_version = 0
 
-    def apply_registrations(self, registrations: Iterable[WorkerRegistration], now_s: float) -> None:
-        """Takes in the list of the service's workers."""
-        listed = {registration.worker_id: registration for registration in registrations}
-        for worker_id, registration in listed.items():
+    def apply_registrations(
+        self, registrations: Iterable[WorkerRegistration], now_s: float
+    ) -> None:
+        """Applies the current registrations of all workers of the service."""
+        registered = {
+            registration.worker_id: registration for registration in registrations
+        }
+        for worker_id, registration in registered.items():
             self._apply_registration(worker_id, registration, now_s)
         for worker in list(self._workers.values()):
-            if worker.id not in listed and worker.is_registered:
+            if worker.id not in registered and worker.is_registered:
                 worker.is_registered = False
                 _log.info("worker_unlisted", worker=worker.id, service=self._service)
 
-    def _apply_registration(self, worker_id: str, registration: WorkerRegistration, now_s: float) -> None:
+    def _apply_registration(
+        self, worker_id: str, registration: WorkerRegistration, now_s: float
+    ) -> None:
         worker = self._workers.get(worker_id)
         if worker is None:
             worker = Worker(registration, self._former_lease_end_s, now_s)
@@ -95,9 +107,9 @@
         worker.is_registered = True
 
     def apply_marks(self, marks: WorkerMarks, version: int = 0) -> None:
-        """Takes in which workers planned work concerns.
+        """Applies the planned-work marks of the service's workers.
 
-        :param version: version of the marks' row.
+        :param version: version of the row that holds the marks.
         """
         self._marks = marks
         self.marks_version = version
@@ -110,27 +122,28 @@
         worker.is_due = worker.id in self._marks.due
 
     def _restart(self, worker: Worker, incarnation_ms: int, now_s: float) -> None:
-        """A worker that started again knows nothing of the runs of before."""
+        """Expires runs of earlier incarnations, of which the worker has no record."""
         _log.info("worker_restarted", worker=worker.id, born_ms=incarnation_ms)
         worker.incarnation_ms = incarnation_ms
         worker.last_processed_number = 0
-        self._commits.forget_acknowledgement(worker.id)
-        former = [
+        self._commits.discard_acknowledgement(worker.id)
+        former_runs = [
             run
             for run in worker.runs.values()
-            if run.incarnation_ms < incarnation_ms and run.phase is not RunPhase.COMMITTING
+            if run.incarnation_ms < incarnation_ms
+            and run.phase is not RunPhase.COMMITTING
         ]
-        self._runs.expire_runs(former, now_s)
+        self._runs.expire_runs(former_runs, now_s)
 
-    def replace(self, worker_id: str, now_s: float) -> None:
-        """Another worker answers at the address: the former one has ended."""
+    def apply_replacement(self, worker_id: str, now_s: float) -> None:
+        """Expires the runs of a worker at whose address another worker answers."""
         worker = self._workers.get(worker_id)
         if worker is None:
             return
-        started = [
+        started_runs = [
             run for run in worker.runs.values() if run.phase is not RunPhase.COMMITTING
         ]
-        self._runs.expire_runs(started, now_s)
+        self._runs.expire_runs(started_runs, now_s)
 
     def apply_renewal(
         self,
@@ -141,13 +154,16 @@
         now_s: float,
         lease_end_s: float,
     ) -> None:
-        """Takes in the runs that a worker lists.
+        """Applies a worker's run list.
 
-        :param sent_s: when the list was asked for.
-        :param lease_end_s: time by which the worker ends all runs if not reached.
+        :param sent_s: monotonic time at which the run list was requested.
+        :param lease_end_s: monotonic time by which the worker ends all runs unless
+            their leases are renewed.
         """
         worker = self._workers.get(worker_id)
-        if worker is None or (reply.incarnation_ms and reply.incarnation_ms < worker.incarnation_ms):
+        if worker is None or (
+            reply.incarnation_ms and reply.incarnation_ms < worker.incarnation_ms
+        ):
             return
         if reply.incarnation_ms > worker.incarnation_ms:
             self._restart(worker, reply.incarnation_ms, now_s)
@@ -162,8 +178,8 @@
         listed = {task.task for task in reply.running}
         for running in reply.running:
             self._apply_running(worker, running, now_s)
-        if len(reply.finished) < FINISHED_PAGE_COUNT:
-            self._end_absent(worker, listed, sent_s, now_s)
+        if len(reply.finished) < FINISHED_RUNS_PAGE_COUNT:
+            self._expire_absent_runs(worker, listed, sent_s, now_s)
 
     def _apply_finished(
         self, worker: Worker, finished: FinishedRun, now_s: float
@@ -175,14 +191,16 @@
         run = worker.runs.get(finished.task)
         if run is None or run.attempt != finished.attempt:
             return
-        self._runs.finish_run(run, RunOutcome(finished.outcome), finished.checkpoint, now_s)
+        self._runs.finish_run(
+            run, RunOutcome(finished.outcome), finished.checkpoint, now_s
+        )
 
     def _apply_running(
         self, worker: Worker, running: RunningTask, now_s: float
     ) -> None:
         run = worker.runs.get(running.task)
         if run is None or run.attempt != running.attempt:
-            self._stop_unknown(worker, running, now_s)
+            self._stop_unknown_run(worker, running, now_s)
             return
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
@@ -193,14 +211,16 @@
         if running.checkpoint:
             run.task.checkpoint = running.checkpoint
 
-    def _stop_unknown(self, worker: Worker, running: RunningTask, now_s: float) -> None:
-        """Ends a run that was started late or belongs to a job that has ended."""
+    def _stop_unknown_run(
+        self, worker: Worker, running: RunningTask, now_s: float
+    ) -> None:
+        """Stops a run that was started late or belongs to a job that has ended."""
         name, attempt = running.task, running.attempt
         if not self._orders.stop(worker.id, name, attempt, now_s):
             return
         _log.info("unknown_run_stopped", task=name, attempt=attempt, worker=worker.id)
 
-    def _end_absent(
+    def _expire_absent_runs(
         self, worker: Worker, listed: set[str], sent_s: float, now_s: float
     ) -> None:
         absent = [
@@ -213,33 +233,37 @@
         self._runs.expire_runs(absent, now_s)
 
     def extend_lease(self, worker_id: str, lease_end_s: float) -> None:
-        """A list without an answer may have extended the worker's lease."""
+        """Extends a worker's lease after a renewal without an answer.
+
+        The call may have taken effect on the worker.
+        """
         worker = self._workers.get(worker_id)
         if worker is not None:
             worker.lease_end_s = max(worker.lease_end_s, lease_end_s)
 
     def check_contacts(self, now_s: float) -> None:
-        """Ends runs whose leases are over, and forgets workers that have left."""
+        """Expires runs whose leases have ended, and drops workers that have left."""
         for worker in list(self._workers.values()):
             if not worker.is_in_contact(now_s):
                 self._check_contact(worker, now_s)
 
     def _check_contact(self, worker: Worker, now_s: float) -> None:
         record_contact_lost(worker, now_s)
-        # A worker that wasn't asked yet may list ends of runs whose leases are over.
+        # A newly registered worker that hasn't been called yet may still report the
+        # outcomes of runs whose leases have ended.
         if now_s >= worker.lease_end_s and not worker.is_presumed_reachable(now_s):
-            over = [
+            expired = [
                 run
                 for run in worker.runs.values()
                 if run.phase in (RunPhase.RUNNING, RunPhase.STOPPING)
             ]
-            self._runs.expire_runs(over, now_s)
+            self._runs.expire_runs(expired, now_s)
         if not worker.is_registered and not worker.runs:
             del self._workers[worker.id]
-            _log.info("worker_forgotten", worker=worker.id, service=self._service)
+            _log.info("worker_removed", worker=worker.id, service=self._service)
 
     def apply_start(self, run: Run, reply: OrderReply, now_s: float) -> None:
-        """Takes in the outcome of an order to start."""
+        """Applies the outcome of an order to start a run."""
         if run.task.run is not run or run.phase is not RunPhase.STARTING:
             if reply.status is OrderStatus.DONE and run.task.run is run:
                 run.confirmed_s = run.confirmed_s or now_s
@@ -270,14 +294,14 @@
         if reply.status is OrderStatus.UNHEALTHY:
             worker.quarantine(now_s)
         elif reply.status is OrderStatus.REJECTED and reply.reason == "ticket":
-            self._advice.forget_ticket(step_of(run.task), worker.id)
+            self._approvals.discard_ticket(step_of(run.task), worker.id)
         elif reply.status is OrderStatus.REJECTED:
-            pause_end_s = now_s + REJECTED_PAUSE_S
-            worker.quarantined_until_s = max(worker.quarantined_until_s, pause_end_s)
+            paused_until_s = now_s + REJECTED_START_PAUSE_S
+            worker.quarantined_until_s = max(worker.quarantined_until_s, paused_until_s)
         self._runs.finish_run(run, RunOutcome.STOPPED, "", now_s)
 
     def apply_stop(self, order: StopTask, reply: OrderReply, now_s: float) -> None:
-        """Takes in the outcome of an order to stop."""
+        """Applies the outcome of an order to stop a run."""
         worker = self._workers.get(order.worker_id)
         run = worker.runs.get(order.task) if worker else None
         if run is None or run.attempt != order.attempt:
@@ -286,11 +310,11 @@
             run.confirmed_s = now_s
 
     def apply_throttle(self, order: ThrottleTask, reply: OrderReply) -> None:
-        """Takes in the outcome of an order to limit a run's share."""
+        """Applies the outcome of an order to throttle a run."""
         if reply.status is OrderStatus.DONE:
             order.run.share_percent = order.percent
             return
-        # The order may still be carried out, after later ones.
+        # The worker may still carry out the order, even after later ones.
         order.run.share_percent = None
         _log.info(
             "pace_not_confirmed",
--- a/src/sycamorecroft/scheduling/workers.py
+++ b/src/sycamorecroft/scheduling/workers.py
@@ -1,4 +1,4 @@
-"""Workers in the memory of a service's owner."""
+"""State of a service's workers in the memory of the service's owner."""
 
 from collections.abc import Iterable
 from statistics import median
@@ -7,24 +7,25 @@
 from sycamorecroft.scheduling.jobs import Run, RunPhase
 from sycamorecroft.scheduling.model import Resources, WorkerRegistration
 
-# A worker answers a list of runs at least once in this time, unless something is wrong.
+# A healthy worker answers a call to renew leases at least once in this time.
 CONTACT_TIMEOUT_S = 2.5
-# Failures in a row, of so many jobs or of two, point to the worker.
+# A worker is quarantined after consecutive failures of this many distinct jobs.
 FAILED_JOBS_TO_QUARANTINE_COUNT = 3
+# A worker is quarantined after this many consecutive failures of two jobs or more.
 FAILURES_TO_QUARANTINE_COUNT = 4
 QUARANTINE_S = 2.0
-# A run whose progress hasn't changed for this long stands still.
+# A run whose progress hasn't changed for this long is stalled.
 STALLED_S = 1.5
-# Weight of the latest run in a worker's mean ratio of time taken to time estimated.
+# Weight of the latest run in the moving average of actual to estimated duration.
 RATIO_WEIGHT = 0.3
 RATIO_SAMPLES_MIN_COUNT = 3
-# A worker this much slower than the middle one of its pool gets tasks last.
+# A worker this many times slower than the median of its pool is ranked last.
 SLOW_RATIO = 2.0
 QUARANTINE_MAX_S = 8.0
 
 
 class StepKey(NamedTuple):
-    """Key of the count of tasks of a step on a worker."""
+    """Key of the number of tasks of a step on a worker."""
 
     job_id: str
     occurrence: int
@@ -34,14 +35,19 @@
 class Worker:
     """A worker of the service, with the runs assigned to it.
 
-    ``lease_end_s`` is the time by which the worker has ended all runs unless it is
-    reached again. ``heard_s`` is when it last answered a list of runs, ``listed_s``
-    when it was first listed, ``paced_s`` when shares of its runs were last changed.
-    ``is_held_for_move``: its room is kept for a long-running task that must move.
+    All times are monotonic. ``lease_end_s`` is the time by which the worker has ended
+    all runs unless their leases are renewed. ``last_contact_s`` is the time of its last
+    run list, ``registered_s`` the time at which its registration was first seen, and
+    ``throttled_s`` the time at which the shares of its runs last changed.
+    ``is_evacuation_target``: its free capacity is kept for a long-running task that
+    moves off another worker. ``is_reserved`` and ``is_due`` are marks of planned work.
     """
 
     def __init__(
-        self, registration: WorkerRegistration, lease_end_s: float, registered_s: float = 0.0
+        self,
+        registration: WorkerRegistration,
+        lease_end_s: float,
+        registered_s: float = 0.0,
     ) -> None:
         self.registration = registration
         self.registered_s = registered_s
@@ -70,24 +76,27 @@
 
     @property
     def id(self) -> str:
-        """Id under which the worker registered."""
+        """Id of the worker's registration."""
         return self.registration.worker_id
 
     @property
     def free(self) -> Resources:
-        """Capacity that no run takes."""
+        """Capacity that isn't allocated to a run."""
         return self.registration.capacity.minus(self.used)
 
     def is_in_contact(self, now_s: float) -> bool:
         """
-        :returns: whether the worker answered of late.
+        :returns: whether the worker answered within the last 2.5 s.
         """
-        return self.last_contact_s is not None and now_s - self.last_contact_s < CONTACT_TIMEOUT_S
+        return (
+            self.last_contact_s is not None
+            and now_s - self.last_contact_s < CONTACT_TIMEOUT_S
+        )
 
     def is_presumed_reachable(self, now_s: float) -> bool:
         """
-        :returns: whether the worker answers, or was listed so lately that it may not
-            have been asked yet.
+        :returns: whether the worker is in contact, or registered so recently that it
+            may not have been called yet.
         """
         if self.last_contact_s is None:
             return now_s - self.registered_s < CONTACT_TIMEOUT_S
@@ -106,7 +115,7 @@
         )
 
     def add(self, run: Run) -> None:
-        """Counts a run that is assigned to the worker."""
+        """Adds a run and allocates its resources."""
         task = run.task
         self.runs[task.id.name] = run
         self.used = self.used.plus(task.spec.allocation)
@@ -115,7 +124,7 @@
         self._step_task_counts[key] = self._step_task_counts.get(key, 0) + 1
 
     def remove(self, run: Run) -> None:
-        """Frees what a run took."""
+        """Removes a run and releases its resources."""
         task = run.task
         if self.runs.pop(task.id.name, None) is None:
             return
@@ -128,31 +137,31 @@
 
     def step_tasks_count(self, job_id: str, occurrence: int, step: int) -> int:
         """
-        :returns: tasks of the step that are assigned to the worker.
+        :returns: number of the step's tasks that are assigned to the worker.
         """
         return self._step_task_counts.get(StepKey(job_id, occurrence, step), 0)
 
     @property
     def failed_jobs_count(self) -> int:
-        """Jobs whose runs failed here since the last run that ended well."""
+        """Number of jobs whose runs failed here since the last successful run."""
         return len(self._failed_jobs)
 
     @property
     def time_ratio(self) -> float | None:
-        """Mean ratio of time taken to time estimated, ``None`` if little is known."""
+        """Mean ratio of actual to estimated duration, ``None`` with too few samples."""
         if self._time_samples_count < RATIO_SAMPLES_MIN_COUNT:
             return None
         return self._time_ratio
 
     def record_duration(self, ratio: float) -> None:
-        """Records a run's ratio of time taken to time estimated."""
+        """Records the ratio of a run's actual to its estimated duration."""
         weight = RATIO_WEIGHT if self._time_samples_count else 1.0
         self._time_ratio += weight * (ratio - self._time_ratio)
         self._time_samples_count += 1
 
     def has_stalled_run(self, now_s: float) -> bool:
         """
-        :returns: whether a task that should advance stands still here.
+        :returns: whether a run that should make progress makes none.
         """
         return any(
             run.progress_percent < 100 and now_s - run.progressed_s > STALLED_S
@@ -161,18 +170,18 @@
         )
 
     def record_success(self) -> None:
-        """Records that a run ended well here."""
+        """Records a successful run, which resets the counts of failures."""
         self._failed_jobs.clear()
         self._failures_count = 0
         self._quarantines_count = 0
 
     def record_failure(self, job_id: str, now_s: float) -> bool:
-        """Records that a run failed here.
+        """Records a failed run.
 
-        Failures of several jobs with no success in between point to the worker rather
-        than to the jobs.
+        Failures of several jobs with no success in between indicate a fault of the
+        worker rather than of the jobs.
 
-        :returns: whether the worker is quarantined by this.
+        :returns: whether the worker was quarantined as a result.
         """
         self._failed_jobs.add(job_id)
         self._failures_count += 1
@@ -186,19 +195,19 @@
         return True
 
     def quarantine(self, now_s: float) -> None:
-        """Takes the worker out of placement for a time that doubles."""
+        """Excludes the worker from placement: 2 s at first, then doubled up to 8 s."""
         duration_s = min(QUARANTINE_MAX_S, QUARANTINE_S * 2**self._quarantines_count)
         self._quarantines_count = min(8, self._quarantines_count + 1)
         self.quarantined_until_s = now_s + duration_s
 
 
 def flag_slow_workers(workers: Iterable[Worker]) -> None:
-    """Marks workers that take much longer than the middle one of the pool."""
-    known = [worker for worker in workers if worker.time_ratio is not None]
-    if not known:
+    """Flags workers that take much longer than the median of the pool."""
+    rated = [worker for worker in workers if worker.time_ratio is not None]
+    if not rated:
         return
-    median_ratio = median(worker.time_ratio for worker in known)
-    for worker in known:
+    median_ratio = median(worker.time_ratio for worker in rated)
+    for worker in rated:
         worker.is_slow = worker.time_ratio > SLOW_RATIO * median_ratio
 
 
