--- a/src/sycamorecroft/capacity/controller.py
+++ b/src/sycamorecroft/capacity/controller.py
@@ -138,7 +138,7 @@
         if state is None:
             state = self._pools[pool] = self._create_state(pool)
         state.history.add(snapshot)
-        present = {worker.machine for worker in snapshot.workers}
+        present = {worker.host for worker in snapshot.workers}
         now_s = self._clock.monotonic_s()
         for host, ordered_s in list(state.incoming_s.items()):
             if host in present or now_s - ordered_s > INCOMING_TIMEOUT_S:
@@ -254,10 +254,10 @@
     ) -> list[Host]:
         """Returns hosts that may move and whose reserved workers run nothing."""
         workers = {
-            (pool, worker.machine): worker.worker_id
+            (pool, worker.host): worker.worker_id
             for pool, snapshot in snapshots.items()
             for worker in snapshot.workers
-            if worker.is_emptied and worker.worker_id in self._pools[pool].reserved
+            if worker.is_drained and worker.worker_id in self._pools[pool].reserved
         }
         return [
             host
--- a/src/sycamorecroft/capacity/planning.py
+++ b/src/sycamorecroft/capacity/planning.py
@@ -242,13 +242,13 @@
         if _is_usable(worker, upkeep_hosts)
         and worker.is_in_contact
         and not worker.long_running_count
-        and worker.machine
+        and worker.host
     ]
     candidates.sort(
         key=lambda worker: (
             worker.worker_id not in reserved,
             worker.used.cpu_millicores,
-            worker.machine not in due_hosts,
+            worker.host not in due_hosts,
             worker.worker_id,
         )
     )
@@ -273,8 +273,8 @@
 
 def _is_usable(worker: WorkerSnapshot, upkeep_hosts: frozenset[str]) -> bool:
     """Whether the worker accepts tasks, or would if it weren't reserved."""
-    is_staying = not worker.is_draining and worker.machine not in upkeep_hosts
-    return worker.is_expected and is_staying
+    is_staying = not worker.is_draining and worker.host not in upkeep_hosts
+    return worker.is_presumed_reachable and is_staying
 
 
 def _mean_worker_millicores(snapshot: PoolSnapshot) -> float:
--- a/src/sycamorecroft/capacity/tests/test_planning.py
+++ b/src/sycamorecroft/capacity/tests/test_planning.py
@@ -106,5 +106,5 @@
 def test_new_owner_does_not_grow_its_pool_before_it_has_contacted_its_workers():
     """Guards against growth because registered workers have not been polled yet."""
     snapshot = _snapshot(0.0, 8, 4 * WORKER_MILLICORES, lost_count=8)
-    workers = tuple(w._replace(is_expected=True) for w in snapshot.workers)
+    workers = tuple(w._replace(is_presumed_reachable=True) for w in snapshot.workers)
     assert _plan([snapshot._replace(workers=workers)]).grow_count == 0
--- a/src/sycamorecroft/platform/tests/test_records.py
+++ b/src/sycamorecroft/platform/tests/test_records.py
@@ -35,7 +35,7 @@
     assert registration.rack == "r1-3"
     assert registration.is_draining
     assert registration.capacity.cpu_millicores == 16000
-    assert registration.born_ms == 17
+    assert registration.incarnation_ms == 17
 
 
 @pytest.mark.parametrize(
@@ -98,14 +98,17 @@
     decoded = decode_job(json.dumps(job | {"interval-ms": 7}).encode())
     decoded_step = decoded.steps[0]
     assert decoded_step.demand == (500, 256, 1)
-    assert decoded_step.reserved.cpu_millicores == 0
+    assert decoded_step.allocation.cpu_millicores == 0
     assert (
         decoded_step.is_checkpointed,
         decoded_step.is_gang,
         decoded_step.is_rack_local,
     ) == (True,) * 3
     assert (decoded_step.required_label, decoded_step.preferred_rack) == ("b", "r1")
-    assert (decoded_step.tasks_per_worker_limit, decoded_step.may_miss_count) == (2, 1)
+    assert (
+        decoded_step.tasks_per_worker_limit,
+        decoded_step.max_unavailable_count,
+    ) == (2, 1)
     assert (decoded_step.is_speculative, decoded_step.is_long_running) == (True, True)
     assert (decoded_step.image, decoded_step.goal_ms) == ("i", 50)
     assert decoded[2:] == (3, 5, 7)
--- a/src/sycamorecroft/scheduling/jobs.py
+++ b/src/sycamorecroft/scheduling/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs and tasks in the memory of a service's owner."""
+"""State of jobs, tasks and runs in the memory of a service's owner."""
 
 from collections.abc import Iterable, Iterator
 from enum import StrEnum
@@ -15,9 +15,10 @@
 class RunPhase(StrEnum):
     """Phase of a run.
 
-    ``COMMITTING``: the assignment isn't stored yet, nothing was sent. ``STARTING``: the
-    order to start is on its way. ``RUNNING``: the worker has taken it. ``STOPPING``:
-    an order to stop was given; the run may or may not be in progress.
+    ``COMMITTING``: the assignment isn't stored yet and no order was sent.
+    ``STARTING``: the order to start is in flight. ``RUNNING``: the worker has confirmed
+    the start. ``STOPPING``: an order to stop was given; the run may still be in
+    progress.
     """
 
     COMMITTING = "committing"
@@ -29,21 +30,22 @@
 class Run:
     """A run of a task that may be in progress on a worker.
 
-    ``settled_s``: a list of runs that was asked for after this time and doesn't name
-    the run proves that it isn't in progress; ``None`` while no such time is known.
-    ``pace_percent``: share of its worker that the run may use, ``None`` if not known.
+    ``confirmed_s``: monotonic time at which the last order to the worker was confirmed,
+    ``None`` if it isn't. A run list that was requested later and doesn't contain the
+    run proves that it isn't in progress. ``share_percent``: share of its worker's
+    processors that the run may use, ``None`` if unknown.
     """
 
     __slots__ = (
         "attempt",
-        "born_ms",
+        "incarnation_ms",
         "gauge",
-        "pace_percent",
+        "share_percent",
         "phase",
         "progress_percent",
         "progressed_s",
         "rack",
-        "settled_s",
+        "confirmed_s",
         "started_s",
         "task",
         "worker_id",
@@ -53,30 +55,32 @@
         self,
         task: "Task",
         worker_id: str,
-        born_ms: int,
+        incarnation_ms: int,
         phase: RunPhase,
         now_s: float,
-        settled_s: float | None = None,
+        confirmed_s: float | None = None,
         rack: str = "",
     ) -> None:
         self.task = task
         self.rack = rack
         self.attempt = task.attempt
         self.worker_id = worker_id
-        self.born_ms = born_ms
+        self.incarnation_ms = incarnation_ms
         self.phase = phase
-        self.settled_s = settled_s
+        self.confirmed_s = confirmed_s
         self.started_s = now_s
         self.progressed_s = now_s
         self.progress_percent = 0
         self.gauge = 0
-        self.pace_percent: int | None = 100
+        self.share_percent: int | None = 100
 
 
 class Task:
-    """A task of a job; ``attempt`` is the number of its last start, 0 if none.
+    """A task of a job.
 
-    ``failed_workers``: where it has failed, as far as this owner knows.
+    ``attempt`` is the number of its last start, 0 if there was none. ``failed_workers``
+    are the workers on which it has failed under this owner. ``waiting_since_s`` is the
+    monotonic time since which it has had no run.
     """
 
     __slots__ = (
@@ -106,12 +110,12 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether the task needs a run and has none."""
+        """Whether the task isn't done and has no run."""
         return self.run is None and not self.is_done
 
     def progress(self) -> TaskProgress:
         """
-        :returns: what is stored of the task.
+        :returns: the progress of the task as it is stored.
         """
         run = self.run
         return TaskProgress(
@@ -122,13 +126,13 @@
             self.failures_count,
             self.is_done,
             run.worker_id if run else "",
-            run.born_ms if run else 0,
+            run.incarnation_ms if run else 0,
             self.checkpoint,
         )
 
 
 class Job:
-    """An accepted job that hasn't ended, or whose last runs haven't ended."""
+    """An accepted job that hasn't ended, or that still has runs in progress."""
 
     def __init__(self, job_id: str, row: JobRow, now_s: float, now_ms: int) -> None:
         """
@@ -142,18 +146,18 @@
         self.accepted_s = now_s - max(0, now_ms - row.accepted_ms) / 1000
         self.state = JobState.QUEUED
         self.tasks: dict[TaskId, Task] = {}
-        self.occurrences_begun_count = 0
-        self.chain_left_s: float | None = None
+        self.occurrences_started_count = 0
+        self.critical_path_left_s: float | None = None
 
     @property
     def is_active(self) -> bool:
-        """Whether tasks may still be started."""
+        """Whether tasks of the job may still be started."""
         return not self.state.is_final
 
-    def begin_occurrence(self, now_s: float) -> None:
+    def start_occurrence(self, now_s: float) -> None:
         """Adds the tasks of the next occurrence."""
-        occurrence = self.occurrences_begun_count
-        self.occurrences_begun_count += 1
+        occurrence = self.occurrences_started_count
+        self.occurrences_started_count += 1
         for step_number, step in enumerate(self.spec.steps):
             for index in range(step.tasks_count):
                 task_id = TaskId(self.id, occurrence, step_number, index)
@@ -161,28 +165,31 @@
                 task.waiting_since_s = now_s
                 self.tasks[task_id] = task
 
-    def begin_due_occurrences(self, now_s: float, now_ms: int) -> bool:
-        """
-        :returns: whether an occurrence became due.
+    def start_due_occurrences(self, now_s: float, now_ms: int) -> bool:
+        """Starts all occurrences that are due.
+
+        :param now_s: monotonic time.
+        :param now_ms: Unix time.
+        :returns: whether an occurrence was started.
         """
-        has_begun = False
+        has_started = False
         while self._next_due_ms() <= now_ms and self._has_next_occurrence():
-            self.begin_occurrence(now_s)
-            has_begun = True
-        return has_begun
+            self.start_occurrence(now_s)
+            has_started = True
+        return has_started
 
     def _has_next_occurrence(self) -> bool:
-        return self.occurrences_begun_count < max(1, self.spec.occurrences_count)
+        return self.occurrences_started_count < max(1, self.spec.occurrences_count)
 
     def _next_due_ms(self) -> int:
         if not self.spec.is_scheduled:
             return 0
-        started = self.occurrences_begun_count * self.spec.interval_ms
-        return self.spec.start_at_ms + started
+        elapsed_ms = self.occurrences_started_count * self.spec.interval_ms
+        return self.spec.start_at_ms + elapsed_ms
 
     def step_tasks(self, occurrence: int, step: int) -> list[Task]:
         """
-        :returns: tasks of a step of an occurrence.
+        :returns: tasks of a step in one occurrence, in the order of their indexes.
         """
         count = self.spec.steps[step].tasks_count
         ids = (TaskId(self.id, occurrence, step, index) for index in range(count))
@@ -190,11 +197,12 @@
 
     def done_steps(self) -> frozenset[int]:
         """
-        :returns: steps whose tasks have all ended, in the first open occurrence.
+        :returns: numbers of the completed steps in the first occurrence that isn't
+            complete.
         """
         count = len(self.spec.steps)
         done: frozenset[int] = frozenset()
-        for occurrence in range(self.occurrences_begun_count):
+        for occurrence in range(self.occurrences_started_count):
             done = frozenset(
                 number
                 for number in range(count)
@@ -206,18 +214,18 @@
 
     def ready_steps(self) -> Iterator[tuple[int, int]]:
         """
-        :returns: occurrence and number of each step with waiting tasks whose earlier
-            steps have ended.
+        :returns: occurrence and number of each step that has waiting tasks and whose
+            preceding steps are complete.
         """
-        for occurrence in range(self.occurrences_begun_count):
+        for occurrence in range(self.occurrences_started_count):
             for number, step in enumerate(self.spec.steps):
-                if not self._is_step_open(occurrence, step):
+                if not self._is_step_ready(occurrence, step):
                     continue
                 tasks = self.step_tasks(occurrence, number)
                 if any(task.is_waiting for task in tasks):
                     yield occurrence, number
 
-    def _is_step_open(self, occurrence: int, step: StepSpec) -> bool:
+    def _is_step_ready(self, occurrence: int, step: StepSpec) -> bool:
         return all(
             task.is_done
             for other in step.after
@@ -226,7 +234,7 @@
 
     def is_complete(self) -> bool:
         """
-        :returns: whether all tasks of all occurrences have ended as done.
+        :returns: whether all tasks of all occurrences are done.
         """
         if self._has_next_occurrence():
             return False
@@ -239,11 +247,11 @@
         return [task.run for task in self.tasks.values() if task.run is not None]
 
     def restore(self, progress: ProgressRow, now_s: float) -> None:
-        """Takes over the stored progress; runs are believed to be in progress."""
+        """Restores the stored progress; stored runs are assumed to be in progress."""
         self.state = progress.state
         for stored in progress.tasks:
-            while stored.occurrence >= self.occurrences_begun_count:
-                self.begin_occurrence(now_s)
+            while stored.occurrence >= self.occurrences_started_count:
+                self.start_occurrence(now_s)
             task_id = TaskId(self.id, stored.occurrence, stored.step, stored.index)
             self._restore_task(self.tasks[task_id], stored, now_s)
 
@@ -253,22 +261,22 @@
         task.is_done = stored.is_done
         task.checkpoint = stored.checkpoint
         if stored.worker_id:
-            # The first list that a worker returns under the new epoch is after all
-            # orders of the former owner.
+            # A worker refuses orders of the former owner once it has answered a call
+            # with the new epoch, so its first run list reflects all earlier orders.
             task.run = Run(
                 task,
                 stored.worker_id,
-                stored.born_ms,
+                stored.incarnation_ms,
                 RunPhase.STARTING,
                 now_s,
-                settled_s=now_s,
+                confirmed_s=now_s,
             )
-            task.run.pace_percent = None
+            task.run.share_percent = None
 
     def progress(self, now_ms: int) -> ProgressRow:
         """
         :param now_ms: Unix time.
-        :returns: what is stored of the job.
+        :returns: the progress of the job as it is stored.
         """
         if self.state.is_final:
             runs: Iterable[Run] = self.runs()
--- a/src/sycamorecroft/upkeep/controller.py
+++ b/src/sycamorecroft/upkeep/controller.py
@@ -293,7 +293,7 @@
         for worker in pool.snapshot.workers:
             if worker.worker_id != host.worker_id:
                 continue
-            if worker.is_emptied:
+            if worker.is_drained:
                 return True
             is_overdue = now_s - started_s > DRAIN_TIMEOUT_S
             return is_overdue and not worker.long_running_count
--- a/src/sycamorecroft/upkeep/fleet_store.py
+++ b/src/sycamorecroft/upkeep/fleet_store.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from sycamorecroft.errors import StoreConflictError
-from sycamorecroft.scheduling.pool_rows import MACHINES_CLAIM
+from sycamorecroft.scheduling.pool_rows import FLEET_CONTROLLER_CLAIM
 from sycamorecroft.scheduling.rows import decode_row, encode_row
 from sycamorecroft.store.interfaces import (
     Check,
@@ -83,7 +83,7 @@
         :param owner_check: condition that holds while this entry host is the fleet
             controller.
         """
-        self._tables = TablePart(tables, MACHINES_CLAIM)
+        self._tables = TablePart(tables, FLEET_CONTROLLER_CLAIM)
         self._holder = holder
         self._owner_checks = (owner_check,) if owner_check else ()
         self.store_time_ms = 0
