--- a/src/sycamorecroft/node/advice_link.py
+++ b/src/sycamorecroft/node/advice_requester.py
@@ -18,7 +18,7 @@
     tell: Callable[[AdviceResult], object]
 
 
-class AdviceLink:
+class AdviceRequester:
     """Asks in order of arrival; the service takes one call of a host at a time."""
 
     def __init__(self, calls: AdviceCalls | None) -> None:
--- a/src/sycamorecroft/node/machine_control.py
+++ b/src/sycamorecroft/node/fleet_controller.py
@@ -10,7 +10,7 @@
 from sycamorecroft.capacity.marks import MarkBook
 from sycamorecroft.clock import Clock
 from sycamorecroft.errors import PlatformError, RecordError
-from sycamorecroft.node.table_follower import TableFollower
+from sycamorecroft.node.table_watcher import TableWatcher
 from sycamorecroft.ownership.committer import ServiceClaim
 from sycamorecroft.ownership.rows import OWNERS_TABLE, ROW_KEY
 from sycamorecroft.platform import HttpMachineCalls, encode_wave_status
@@ -66,7 +66,7 @@
     received_s: float
 
 
-class MachineControl:
+class FleetController:
     """Runs the controllers of capacity and upkeep from a claim to its end."""
 
     def __init__(
@@ -119,7 +119,7 @@
         self._next_upkeep_s = 0.0
         self._sizes: frozenset[Resources] = frozenset()
         self._next_sizes_s = 0.0
-        self._follower = TableFollower(
+        self._follower = TableWatcher(
             tables, LOADS_TABLE, self._apply_loads, part=None
         )
 
--- a/src/sycamorecroft/node/node.py
+++ b/src/sycamorecroft/node/node.py
@@ -18,14 +18,14 @@
     NODE_CONTACT_AGE,
     SERVICES_OWNED,
 )
-from sycamorecroft.node.advice_link import AdviceLink
-from sycamorecroft.node.machine_control import FleetView, MachineControl
+from sycamorecroft.node.advice_requester import AdviceRequester
+from sycamorecroft.node.fleet_controller import FleetView, FleetController
 from sycamorecroft.node.owned_service import OwnedService
 from sycamorecroft.node.readiness import Readiness
-from sycamorecroft.node.service_keeper import OwnedParts, ServiceKeeper
-from sycamorecroft.node.table_follower import TableFollower
+from sycamorecroft.node.service_supervisor import OwnedServiceFactories, ServiceSupervisor
+from sycamorecroft.node.table_watcher import TableWatcher
 from sycamorecroft.node.telemetry import NodeTelemetry
-from sycamorecroft.node.wave_book import WaveBook
+from sycamorecroft.node.wave_cache import WaveCache
 from sycamorecroft.node.worker_directory import WorkerDirectory
 from sycamorecroft.ownership import Ownership
 from sycamorecroft.ownership.owner import ClaimedService, OwnershipTimes
@@ -101,19 +101,19 @@
             OwnershipTimes(self._lease_s, UNCONFIRMED_S),
             self._confirm,
         )
-        self._waves = WaveBook()
-        self._advice = AdviceLink(self._connect_advice())
-        self.keeper = ServiceKeeper(
+        self._waves = WaveCache()
+        self._advice = AdviceRequester(self._connect_advice())
+        self.supervisor = ServiceSupervisor(
             self._ownership,
             WorkerDirectory(self._tables),
             clock,
             self._fleet,
-            OwnedParts(self._run_service, self._run_machines),
+            OwnedServiceFactories(self._run_service, self._run_machines),
             self._telemetry,
         )
         self._followers = (
-            TableFollower(self._tables, OPERATOR_TABLE, self._apply_operator_rows),
-            TableFollower(
+            TableWatcher(self._tables, OPERATOR_TABLE, self._apply_operator_rows),
+            TableWatcher(
                 self._tables, OWNERS_TABLE, self._apply_owner_rows, part=None
             ),
         )
@@ -204,7 +204,7 @@
             server.start()
         for follower in self._followers:
             follower.start()
-        self.keeper.start()
+        self.supervisor.start()
         self._advice.start()
         _log.info("node_started", host=self._settings.host)
 
@@ -215,7 +215,7 @@
         """
         _log.info("node_stopping", host=self._settings.host)
         self._readiness.begin_stop()
-        self.keeper.stop()
+        self.supervisor.stop()
         front = self._servers[0]
         front.begin_stop()
         self._sleep(UNREADY_S)
@@ -255,10 +255,10 @@
             row_version=row.version,
             queues_count=len(fleet.queues),
         )
-        self.keeper.wake()
+        self.supervisor.wake()
 
     def _apply_owner_rows(self, rows: tuple[Row, ...]) -> None:
-        self.keeper.apply_owner_rows(rows)
+        self.supervisor.apply_owner_rows(rows)
         for row in rows:
             if row.key == SIZES_KEY and row.value is not None:
                 self._apply_sizes(row)
@@ -272,8 +272,8 @@
         self._sizes.set(sizes)
         _log.info("machine_sizes_known", version=row.version, sizes=sizes)
 
-    def _run_machines(self, claimed: ClaimedService) -> MachineControl:
-        return MachineControl(
+    def _run_machines(self, claimed: ClaimedService) -> FleetController:
+        return FleetController(
             self._settings,
             self._tables,
             self._clock,
@@ -289,7 +289,7 @@
             lease_s=self._lease_s,
             connect=partial(_connect_worker, claimed.claim.epoch),
             lease_limit_s=self._lease_limit_s,
-            on_lost=self.keeper.on_lost,
+            on_lost=self.supervisor.on_lost,
             ask_advice=self._advice.ask,
         )
         return OwnedService(
--- a/src/sycamorecroft/node/owned_service.py
+++ b/src/sycamorecroft/node/owned_service.py
@@ -8,7 +8,7 @@
 from sycamorecroft.concurrency import Ticker, tell_if_alive
 from sycamorecroft.errors import RecordError
 from sycamorecroft.node.load_publisher import LoadPublisher
-from sycamorecroft.node.table_follower import TableFollower
+from sycamorecroft.node.table_watcher import TableWatcher
 from sycamorecroft.ownership.committer import Committer
 from sycamorecroft.ownership.owner import ClaimedService
 from sycamorecroft.recorder import Recorder
@@ -86,7 +86,7 @@
         )
         self._committer.start()
         self._actor.tell(self._committer)
-        self._follower = TableFollower(
+        self._follower = TableWatcher(
             tables,
             jobs_table(service),
             self._apply_jobs,
@@ -94,7 +94,7 @@
             from_version=jobs.version,
         )
         self._follower.start()
-        self._marks_follower = TableFollower(
+        self._marks_follower = TableWatcher(
             tables, MARKS_TABLE, self._apply_marks, from_version=marks.version
         )
         self._marks_follower.start()
--- a/src/sycamorecroft/node/service_keeper.py
+++ b/src/sycamorecroft/node/service_supervisor.py
@@ -10,7 +10,7 @@
 from sycamorecroft.concurrency import Ticker
 from sycamorecroft.errors import PlatformError
 from sycamorecroft.metrics import TAKEOVERS
-from sycamorecroft.node.machine_control import MachineControl
+from sycamorecroft.node.fleet_controller import FleetController
 from sycamorecroft.node.owned_service import OwnedService
 from sycamorecroft.node.worker_directory import WorkerDirectory
 from sycamorecroft.ownership import Ownership
@@ -29,14 +29,14 @@
 WAIT_MIN_S = 0.05
 
 
-class OwnedParts(NamedTuple):
+class OwnedServiceFactories(NamedTuple):
     """Makes what runs while this host owns a service, or the machines."""
 
     service: Callable[[ClaimedService, tuple[WorkerEntry, ...]], OwnedService]
-    machines: Callable[[ClaimedService], MachineControl]
+    machines: Callable[[ClaimedService], FleetController]
 
 
-class ServiceKeeper:
+class ServiceSupervisor:
     """Renews this host's row, claims what is without an owner, and runs it."""
 
     def __init__(
@@ -45,7 +45,7 @@
         directory: WorkerDirectory,
         clock: Clock,
         fleet: Callable[[], FleetSnapshot | None],
-        parts: OwnedParts,
+        parts: OwnedServiceFactories,
         recorder: Recorder,
     ) -> None:
         """
@@ -61,7 +61,7 @@
         self._due = threading.Event()
         self._stopping = threading.Event()
         self.owned: dict[str, OwnedService] = {}
-        self._machines: MachineControl | None = None
+        self._machines: FleetController | None = None
         self._next_full_s = 0.0
         self._ticker = Ticker("list-workers", WORKERS_INTERVAL_S, self._list_workers)
 
@@ -95,11 +95,11 @@
             now_s = self._clock.monotonic_s()
             try:
                 if now_s >= next_beat_s:
-                    next_beat_s = now_s + self._ownership.beat_interval_s
-                    self._ownership.beat()
+                    next_beat_s = now_s + self._ownership.heartbeat_interval_s
+                    self._ownership.send_heartbeat()
                 self._update()
                 # A host that has just come to own something beats more often.
-                latest_s = now_s + self._ownership.beat_interval_s
+                latest_s = now_s + self._ownership.heartbeat_interval_s
                 next_beat_s = min(next_beat_s, latest_s)
             except PlatformError as error:
                 _log.debug("ownership_not_renewed", error=str(error))
@@ -121,7 +121,7 @@
                 return
             for name in self._ownership.lost_services():
                 self._stop_owned(name)
-            for claimed in self._ownership.claim_orphans(_names_to_claim(fleet)):
+            for claimed in self._ownership.claim_unowned_services(_names_to_claim(fleet)):
                 self._begin(claimed)
 
     def _begin(self, claimed: ClaimedService) -> None:
--- a/src/sycamorecroft/node/table_follower.py
+++ b/src/sycamorecroft/node/table_watcher.py
@@ -24,7 +24,7 @@
 RETRY_CAP_S = 0.6
 
 
-class TableFollower:
+class TableWatcher:
     """Thread that passes the rows of a table, and then each change, to a function.
 
     After the store has forgotten its history, all rows are passed again.
--- a/src/sycamorecroft/node/tests/test_table_follower.py
+++ b/src/sycamorecroft/node/tests/test_table_watcher.py
@@ -3,7 +3,7 @@
 import time
 
 from standins.memory_partitions import MemoryPartitions
-from sycamorecroft.node.table_follower import TableFollower
+from sycamorecroft.node.table_watcher import TableWatcher
 from sycamorecroft.store.interfaces import Put, StorePurpose
 
 
@@ -21,7 +21,7 @@
 
 def _follow(tables, **options):
     seen = []
-    follower = TableFollower(
+    follower = TableWatcher(
         tables, "t", lambda rows: seen.extend(row.key for row in rows), **options
     )
     follower.start()
@@ -77,7 +77,7 @@
         if len(calls) == 1:
             raise ValueError("bad row")
 
-    follower = TableFollower(tables, "t", apply)
+    follower = TableWatcher(tables, "t", apply)
     follower.start()
     _put(tables, "a")
     _wait_for(lambda: len(calls) >= 2)
--- a/src/sycamorecroft/node/wave_book.py
+++ b/src/sycamorecroft/node/wave_cache.py
@@ -14,7 +14,7 @@
 _log = structlog.get_logger(__name__)
 
 
-class WaveBook:
+class WaveCache:
     """Waves that this host has seen. Thread-safe."""
 
     def __init__(self) -> None:
--- a/src/sycamorecroft/ownership/__init__.py
+++ b/src/sycamorecroft/ownership/__init__.py
@@ -1,14 +1,14 @@
 """Which host owns which service, as rows of the platform's store say."""
 
 from sycamorecroft.ownership.committer import CommitOutcome, Committer
-from sycamorecroft.ownership.hosts import HostRow, HostTable
+from sycamorecroft.ownership.entry_hosts import EntryHostRow, EntryHostTable
 from sycamorecroft.ownership.owner import Ownership, OwnershipRecord
 
 __all__ = [
     "CommitOutcome",
     "Committer",
-    "HostRow",
-    "HostTable",
+    "EntryHostRow",
+    "EntryHostTable",
     "Ownership",
     "OwnershipRecord",
 ]
--- a/src/sycamorecroft/ownership/hosts.py
+++ b/src/sycamorecroft/ownership/entry_hosts.py
@@ -11,7 +11,7 @@
 _log = structlog.get_logger(__name__)
 
 # Each host writes to a part of its own, since the transactions of one part queue up.
-HOSTS_TABLE = "hosts"
+ENTRY_HOSTS_TABLE = "hosts"
 # A host that owns something renews its row and reads those of others this often, and is
 # believed to be gone after the timeout. Several heartbeats fit into it.
 OWNER_INTERVAL_S = 0.3
@@ -23,7 +23,7 @@
 READ_GAP_S = 2.0
 
 
-class HostRow(NamedTuple):
+class EntryHostRow(NamedTuple):
     """Heartbeat of an entry host.
 
     ``incarnation`` differs in each start of its process. ``store_time_ms`` is the
@@ -32,25 +32,25 @@
     """
 
     incarnation: str
-    beats_count: int
+    heartbeats_count: int
     store_time_ms: int
     timeout_ms: int = int(HOST_TIMEOUT_S * 1000)
 
 
-class HostSighting(NamedTuple):
+class EntryHostObservation(NamedTuple):
     """Latest row of a host.
 
     ``seen_s`` is when it was first read here, ``written_s`` when it was written by the
     store's clock.
     """
 
-    row: HostRow
+    row: EntryHostRow
     version: int
     seen_s: float
     written_s: float
 
 
-class HostTable:
+class EntryHostTable:
     """What this host knows of the others. Not thread-safe.
 
     A host is believed to be gone only if its row stays the same while the store is
@@ -58,7 +58,7 @@
     """
 
     def __init__(self) -> None:
-        self._sightings: dict[str, HostSighting] = {}
+        self._sightings: dict[str, EntryHostObservation] = {}
         self._read_s: float | None = None
         self._read_without_gap_since_s = 0.0
         self._call_duration_s = 0.0
@@ -81,16 +81,16 @@
         if known is not None and known.version >= row.version:
             return
         try:
-            decoded = decode_row(row.value or b"", HostRow)
+            decoded = decode_row(row.value or b"", EntryHostRow)
         except RecordError as error:
             _log.error("host_row_not_understood", host=row.key, error=str(error))
             return
         age_ms = max(0, store_time_ms - decoded.store_time_ms)
-        self._sightings[row.key] = HostSighting(
+        self._sightings[row.key] = EntryHostObservation(
             decoded, row.version, now_s, now_s - age_ms / 1000
         )
 
-    def find(self, host: str) -> HostSighting | None:
+    def find(self, host: str) -> EntryHostObservation | None:
         """
         :returns: latest sighting of a host.
         """
@@ -107,6 +107,6 @@
             if self._silence_s(sighting) < sighting.row.timeout_ms / 1000 + margin_s
         )
 
-    def _silence_s(self, sighting: HostSighting) -> float:
+    def _silence_s(self, sighting: EntryHostObservation) -> float:
         since_s = max(sighting.seen_s, self._read_without_gap_since_s)
         return (self._read_s or 0.0) - since_s
--- a/src/sycamorecroft/ownership/owner.py
+++ b/src/sycamorecroft/ownership/owner.py
@@ -14,14 +14,14 @@
     StoreHistoryLostError,
 )
 from sycamorecroft.ownership.committer import ServiceClaim
-from sycamorecroft.ownership.hosts import (
+from sycamorecroft.ownership.entry_hosts import (
     HOST_INTERVAL_S,
     HOST_TIMEOUT_S,
-    HOSTS_TABLE,
+    ENTRY_HOSTS_TABLE,
     OWNER_INTERVAL_S,
     OWNER_TIMEOUT_S,
-    HostRow,
-    HostTable,
+    EntryHostRow,
+    EntryHostTable,
 )
 from sycamorecroft.ownership.rows import (
     COMMITS_TABLE,
@@ -96,8 +96,8 @@
         self._incarnation = incarnation
         self._times = times
         self._confirm = confirm
-        self._hosts = HostTable()
-        self._beats_count = 0
+        self._hosts = EntryHostTable()
+        self._heartbeats_count = 0
         self._hosts_version: int | None = None
         self._started_s: float | None = None
         self._store_time_ms = 0
@@ -107,7 +107,7 @@
         self.owned: dict[str, ClaimedService] = {}
 
     @property
-    def beat_interval_s(self) -> float:
+    def heartbeat_interval_s(self) -> float:
         """Time from one heartbeat to the next.
 
         A host that waits for others, or for a service to be claimed, looks as often as
@@ -116,7 +116,7 @@
         is_watching = self.owned or self.is_joining or self._orphaned_s
         return OWNER_INTERVAL_S if is_watching else HOST_INTERVAL_S
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Renews this host's row and reads those of the others.
 
         :raises PlatformError: when the store can't be reached.
@@ -131,16 +131,16 @@
 
     def _renew(self) -> None:
         sent_s = self._clock.monotonic_s()
-        self._beats_count += 1
+        self._heartbeats_count += 1
         elapsed_ms = int((sent_s - self._store_time_read_s) * 1000)
         timeout_s = OWNER_TIMEOUT_S if self.owned else HOST_TIMEOUT_S
-        row = HostRow(
+        row = EntryHostRow(
             self._incarnation,
-            self._beats_count,
+            self._heartbeats_count,
             self._store_time_ms + elapsed_ms,
             int(timeout_s * 1000),
         )
-        put = Put(HOSTS_TABLE, self._host, encode_row(row), self._host)
+        put = Put(ENTRY_HOSTS_TABLE, self._host, encode_row(row), self._host)
         self._tables.transact((), (put,), purpose=StorePurpose.REGISTRATION)
         self._confirm(sent_s)
 
@@ -156,12 +156,12 @@
         if self._hosts_version is not None:
             try:
                 return self._tables.changes(
-                    HOSTS_TABLE, after_version=self._hosts_version, wait_s=0.0
+                    ENTRY_HOSTS_TABLE, after_version=self._hosts_version, wait_s=0.0
                 )
             except StoreHistoryLostError as error:
-                _log.info("history_lost", table=HOSTS_TABLE, reason=str(error))
+                _log.info("history_lost", table=ENTRY_HOSTS_TABLE, reason=str(error))
         return read_all_parts(
-            self._tables, HOSTS_TABLE, purpose=StorePurpose.REGISTRATION
+            self._tables, ENTRY_HOSTS_TABLE, purpose=StorePurpose.REGISTRATION
         )
 
     def apply_owner_rows(self, rows: Iterable[Row]) -> None:
@@ -201,7 +201,7 @@
             return True
         return self._clock.monotonic_s() - self._started_s < JOIN_DELAY_S
 
-    def claim_orphans(self, services: Iterable[str]) -> list[ClaimedService]:
+    def claim_unowned_services(self, services: Iterable[str]) -> list[ClaimedService]:
         """Claims services without a live owner that fall to this host.
 
         :param services: all services of the configuration.
--- a/src/sycamorecroft/ownership/tests/test_ownership.py
+++ b/src/sycamorecroft/ownership/tests/test_ownership.py
@@ -5,7 +5,7 @@
 from standins.memory_partitions import MemoryPartitions
 from sycamorecroft.clock import ManualClock
 from sycamorecroft.errors import StoreUnavailableError
-from sycamorecroft.ownership.hosts import HOST_INTERVAL_S, OWNER_INTERVAL_S
+from sycamorecroft.ownership.entry_hosts import HOST_INTERVAL_S, OWNER_INTERVAL_S
 from sycamorecroft.ownership.owner import Ownership, OwnershipTimes
 from sycamorecroft.ownership.rows import OWNERS_TABLE
 
@@ -40,11 +40,11 @@
                     continue
 
     def step(self, host: Ownership) -> None:
-        host.beat()
+        host.send_heartbeat()
         rows = self.tables.changes(OWNERS_TABLE, after_version=0, wait_s=0.0).rows
         host.apply_owner_rows(rows)
         host.lost_services()
-        host.claim_orphans(SERVICES)
+        host.claim_unowned_services(SERVICES)
 
     def owners(self) -> dict[str, list[str]]:
         owned: dict[str, list[str]] = {}
@@ -128,12 +128,12 @@
     """Guards against services that wait for a second look after a loss of all hosts."""
     hosts = _Hosts(2)
     host = hosts.hosts["h0"]
-    assert host.beat_interval_s == OWNER_INTERVAL_S
+    assert host.heartbeat_interval_s == OWNER_INTERVAL_S
     hosts.run(4.0)
     idle = hosts.create("h9")
-    idle.beat()
+    idle.send_heartbeat()
     hosts.clock.advance(1.0)
-    assert idle.beat_interval_s == HOST_INTERVAL_S
+    assert idle.heartbeat_interval_s == HOST_INTERVAL_S
 
 
 def test_outage_of_the_store_changes_no_owner(hosts):
--- a/tests/test_node_path.py
+++ b/tests/test_node_path.py
@@ -140,8 +140,8 @@
 def test_service_is_handed_over_at_a_planned_stop(site):
     """Guards against jobs that stand still after their owner was stopped."""
     site.start_node("h2")
-    site.wait_for(lambda: any(node.keeper.owned for node in site.nodes.values()))
-    owners = [n for n, node in site.nodes.items() if node.keeper.owned]
+    site.wait_for(lambda: any(node.supervisor.owned for node in site.nodes.values()))
+    owners = [n for n, node in site.nodes.items() if node.supervisor.owned]
     leaving = owners[0]
     staying = next(name for name in site.nodes if name != leaving)
     path = "/a/00112233445566bb"
@@ -155,7 +155,7 @@
 
 def test_dark_store_is_refused_and_survived(site):
     """Guards against a node that doesn't come back after the store has."""
-    site.wait_for(lambda: bool(site.nodes["h1"].keeper.owned))
+    site.wait_for(lambda: bool(site.nodes["h1"].supervisor.owned))
     site.store.tables.is_dark = True
     path = "/a/00112233445566cc"
     status, _ = site.call("h1", "POST", path, JOB)
