--- a/src/sycamorecroft/serving/__init__.py
+++ b/src/sycamorecroft/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Accepts jobs of callers and tells their state."""
+"""HTTP interface through which callers submit, inspect and cancel jobs."""
--- a/src/sycamorecroft/serving/application.py
+++ b/src/sycamorecroft/serving/application.py
@@ -1,4 +1,4 @@
-"""WSGI application for callers."""
+"""WSGI application through which callers submit, inspect and cancel jobs."""
 
 import re
 from collections.abc import Callable, Iterable
@@ -19,13 +19,13 @@
 from sycamorecroft.scheduling.model import JobSpec, Resources
 from sycamorecroft.scheduling.rows import JobRow
 from sycamorecroft.serving.job_store import CancelOutcome, JobStore, SubmitOutcome
-from sycamorecroft.serving.router import Router, Target
+from sycamorecroft.serving.router import RouteMatch, Router
 
 _log = structlog.get_logger(__name__)
 
 DEFAULT_TIMEOUT_S = 3.0
-# Left for the answer's way back to the caller.
-ANSWER_MARGIN_S = 0.1
+# Reserved for the transfer of the response to the caller.
+RESPONSE_MARGIN_S = 0.1
 RETRY_AFTER_MIN_S = 1
 RETRY_AFTER_MAX_S = 5
 TASKS_LIMIT_COUNT = 1000
@@ -34,8 +34,11 @@
 _JOB_ID = re.compile(r"^[0-9a-f]{16}$")
 
 
-class Answer(NamedTuple):
-    """Response to a caller; ``reason`` is a bounded code of a refusal."""
+class Response(NamedTuple):
+    """Response to a caller.
+
+    ``reason`` is the code of a refusal from a bounded set, used as a metric label.
+    """
 
     status: HTTPStatus
     body: dict[str, object] | None = None
@@ -44,18 +47,22 @@
 
 
 class ServingSettings(NamedTuple):
-    """Limits of submissions."""
+    """Limits of submissions.
+
+    ``row_limit_bytes``: largest row that the store accepts.
+    """
 
     row_limit_bytes: int
 
 
 class JobApplication:
-    """Accepts, reports and cancels jobs.
+    """Submits, reports and cancels jobs for callers.
 
-    :param router: returns the queues in force, ``None`` while there are none.
-    :param decode_job: decodes the body of a submission.
-    :param machine_sizes: returns the distinct capacities of machines, none while they
-        are not known.
+    :param router: returns the routing table in force, ``None`` before one was read.
+    :param decode_job: decodes the body of a submission and raises
+        :class:`~sycamorecroft.errors.RequestError` if it is invalid.
+    :param host_sizes: returns the distinct capacities of hosts, empty while they
+        are unknown.
     """
 
     def __init__(
@@ -66,9 +73,9 @@
         clock: Clock,
         settings: ServingSettings,
         recorder: Recorder | None = None,
-        machine_sizes: Callable[[], tuple[Resources, ...]] = tuple,
+        host_sizes: Callable[[], tuple[Resources, ...]] = tuple,
     ) -> None:
-        self._machine_sizes = machine_sizes
+        self._host_sizes = host_sizes
         self._router = router
         self._decode_job = decode_job
         self._store = store
@@ -78,50 +85,54 @@
 
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
         try:
-            answer = self._answer(environ)
+            response = self._respond(environ)
         except Exception:
             _log.exception("request_failed", path=environ.get("PATH_INFO"))
-            answer = _refused(HTTPStatus.BAD_GATEWAY, "internal error")
-        if answer.reason:
-            self._recorder.count(SUBMISSION_REFUSALS, reason=answer.reason)
-        body = msgspec.json.encode(answer.body or {})
+            response = _refused(HTTPStatus.BAD_GATEWAY, "internal error")
+        if response.reason:
+            self._recorder.count(SUBMISSION_REFUSALS, reason=response.reason)
+        body = msgspec.json.encode(response.body or {})
         headers = [
             ("Content-Type", "application/json"),
             ("Content-Length", str(len(body))),
         ]
-        if answer.retry_after_s is not None:
-            headers.append(("Retry-After", str(answer.retry_after_s)))
-        start_response(f"{answer.status.value} {answer.status.phrase}", headers)
+        if response.retry_after_s is not None:
+            headers.append(("Retry-After", str(response.retry_after_s)))
+        start_response(f"{response.status.value} {response.status.phrase}", headers)
         return [body]
 
-    def _answer(self, environ: dict) -> Answer:
+    def _respond(self, environ: dict) -> Response:
         router = self._router()
         if router is None:
             return _unavailable("no configuration has been read yet")
         path = environ.get("PATH_INFO", "")
-        target = router.find(environ.get("HTTP_HOST", ""), path)
-        if target is None:
-            return _refused(HTTPStatus.NOT_FOUND, "no queue has this host and path")
+        route = router.find(environ.get("HTTP_HOST", ""), path)
+        if route is None:
+            return _refused(
+                HTTPStatus.NOT_FOUND, "no queue matches this host name and path"
+            )
         method = environ["REQUEST_METHOD"]
-        if not target.rest and method == "GET":
-            return self._pending(target)
-        if not _JOB_ID.match(target.rest):
-            return _refused(HTTPStatus.NOT_FOUND, "an id has 16 hexadecimal digits")
+        if not route.path_suffix and method == "GET":
+            return self._get_pending(route)
+        if not _JOB_ID.match(route.path_suffix):
+            return _refused(
+                HTTPStatus.NOT_FOUND, "a job id must have 16 hexadecimal digits"
+            )
         match method:
             case "POST":
-                return self._submit(environ, target, router)
+                return self._submit(environ, route, router)
             case "GET":
-                return self._state(target)
+                return self._get_state(route)
             case "DELETE":
-                return self._cancel(environ, target)
+                return self._cancel(environ, route)
         return _refused(HTTPStatus.METHOD_NOT_ALLOWED, "use POST, GET or DELETE")
 
     def _deadline_s(self, environ: dict) -> float:
         text = environ.get("HTTP_X_DEADLINE_MS", "")
         timeout_s = int(text) / 1000 if text.isdecimal() else DEFAULT_TIMEOUT_S
-        return self._clock.monotonic_s() + max(0.0, timeout_s - ANSWER_MARGIN_S)
+        return self._clock.monotonic_s() + max(0.0, timeout_s - RESPONSE_MARGIN_S)
 
-    def _submit(self, environ: dict, target: Target, router: Router) -> Answer:
+    def _submit(self, environ: dict, route: RouteMatch, router: Router) -> Response:
         deadline_s = self._deadline_s(environ)
         body = environ["wsgi.input"].read()
         limit_bytes = router.fleet.body_limit_bytes
@@ -133,38 +144,38 @@
         try:
             spec = self._decode_job(body)
             self._check_size(spec, body)
-            self._check_steps(spec)
+            self._check_task_sizes(spec)
         except RequestError as error:
-            _log.info("job_refused", job=target.rest, reason=str(error))
+            _log.info("job_refused", job=route.path_suffix, reason=str(error))
             return _refused(HTTPStatus.BAD_REQUEST, str(error))
         now_ms = int(self._clock.now().timestamp() * 1000)
-        row = JobRow(target.queue, spec, now_ms)
-        begin_s = self._clock.monotonic_s()
-        outcome = self._store.submit(target.rest, row, deadline_s=deadline_s)
-        duration_s = self._clock.monotonic_s() - begin_s
-        service = target.queue.service
+        row = JobRow(route.queue, spec, now_ms)
+        start_s = self._clock.monotonic_s()
+        outcome = self._store.submit(route.path_suffix, row, deadline_s=deadline_s)
+        duration_s = self._clock.monotonic_s() - start_s
+        service = route.queue.service
         self._recorder.count(SUBMISSIONS, service=service, outcome=outcome.value)
         self._recorder.record(SUBMISSION_TIME, duration_s, service=service)
         _log.info(
             "job_submitted",
-            job=target.rest,
-            queue=target.queue.name,
+            job=route.path_suffix,
+            queue=route.queue.name,
             version=router.fleet.version,
             outcome=outcome,
             duration_s=round(duration_s, 3),
         )
         match outcome:
             case SubmitOutcome.STORED | SubmitOutcome.REPEATED:
-                return Answer(HTTPStatus.OK)
+                return Response(HTTPStatus.OK)
             case SubmitOutcome.NOT_STORED:
-                return self._unreachable()
+                return self._refuse_in_outage()
         return _refused(HTTPStatus.GATEWAY_TIMEOUT, "the job may have been stored")
 
-    def _unreachable(self) -> Answer:
-        """Refuses while the store is away.
+    def _refuse_in_outage(self) -> Response:
+        """Refuses a request during an outage of the store.
 
-        An outage that has lasted for a while is likely to last about as long again, and
-        callers try only a few times.
+        An outage is likely to last about as long again as it has lasted so far. Callers
+        retry only a few times, so that the delay grows with the outage.
         """
         age_s = round(self._store.contact_age_s())
         retry_after_s = max(RETRY_AFTER_MIN_S, min(RETRY_AFTER_MAX_S, age_s))
@@ -180,57 +191,60 @@
             message = f"a job has at most {limit_bytes} bytes, got {len(body)}"
             raise RequestError(message)
 
-    def _check_steps(self, spec: JobSpec) -> None:
-        """Refuses a job with a task that no machine can ever hold."""
-        sizes = self._machine_sizes()
+    def _check_task_sizes(self, spec: JobSpec) -> None:
+        """Refuses a job with a task that fits on no host.
+
+        :raises RequestError: when a task exceeds each of the host sizes.
+        """
+        sizes = self._host_sizes()
         for number, step in enumerate(spec.steps):
             if not sizes or any(size.holds(step.reserved) for size in sizes):
                 continue
             raise RequestError(
-                f"a task of step {number} needs {step.reserved}, and no machine is as "
-                f"large; there are {list(sizes)}: split the task"
+                f"a task of step {number} needs {step.reserved} and fits on no host; "
+                f"host sizes are {list(sizes)}: split the task"
             )
 
-    def _state(self, target: Target) -> Answer:
+    def _get_state(self, route: RouteMatch) -> Response:
         try:
-            state = self._store.state(target.queue.service, target.rest)
+            state = self._store.state(route.queue.service, route.path_suffix)
         except PlatformError as error:
-            _log.info("state_not_read", job=target.rest, error=str(error))
-            return self._unreachable()
+            _log.info("job_state_read_failed", job=route.path_suffix, error=str(error))
+            return self._refuse_in_outage()
         if state is None:
             return _refused(HTTPStatus.GONE, "no such job")
-        return Answer(HTTPStatus.OK, {"state": state.value})
+        return Response(HTTPStatus.OK, {"state": state.value})
 
-    def _cancel(self, environ: dict, target: Target) -> Answer:
+    def _cancel(self, environ: dict, route: RouteMatch) -> Response:
         outcome = self._store.cancel(
-            target.queue.service,
-            target.rest,
+            route.queue.service,
+            route.path_suffix,
             deadline_s=self._deadline_s(environ),
         )
-        _log.info("job_cancel_requested", job=target.rest, outcome=outcome)
+        _log.info("job_cancel_requested", job=route.path_suffix, outcome=outcome)
         match outcome:
             case CancelOutcome.STORED:
-                return Answer(HTTPStatus.OK)
+                return Response(HTTPStatus.OK)
             case CancelOutcome.NO_SUCH_JOB:
                 return _refused(HTTPStatus.GONE, "no such job")
         return _refused(HTTPStatus.GATEWAY_TIMEOUT, "the job may have been cancelled")
 
-    def _pending(self, target: Target) -> Answer:
-        queue = target.queue
+    def _get_pending(self, route: RouteMatch) -> Response:
+        queue = route.queue
         try:
             count = self._store.pending_count(queue.service, queue.name)
         except PlatformError as error:
-            _log.info("pending_not_read", queue=queue.name, error=str(error))
-            return self._unreachable()
-        return Answer(HTTPStatus.OK, {"pending": count})
+            _log.info("pending_count_read_failed", queue=queue.name, error=str(error))
+            return self._refuse_in_outage()
+        return Response(HTTPStatus.OK, {"pending": count})
 
 
-def _refused(status: HTTPStatus, reason: str) -> Answer:
-    return Answer(status, {"reason": reason}, reason=status.name.lower())
+def _refused(status: HTTPStatus, reason: str) -> Response:
+    return Response(status, {"reason": reason}, reason=status.name.lower())
 
 
-def _unavailable(reason: str, retry_after_s: int = RETRY_AFTER_MIN_S) -> Answer:
-    return Answer(
+def _unavailable(reason: str, retry_after_s: int = RETRY_AFTER_MIN_S) -> Response:
+    return Response(
         HTTPStatus.SERVICE_UNAVAILABLE,
         {"reason": reason},
         retry_after_s,
--- a/src/sycamorecroft/serving/job_store.py
+++ b/src/sycamorecroft/serving/job_store.py
@@ -1,4 +1,4 @@
-"""Stores submissions and cancellations, and reads the state of jobs."""
+"""Storage of submissions and cancellations, and reads of job states."""
 
 import random
 import threading
@@ -46,17 +46,19 @@
 
 BATCH_WINDOW_S = 0.002
 RETRY_S = 0.1
-# Longer than any caller waits, so that no submission is under way.
-IDLE_PART_S = 10.0
-# The feeds of a host are answered more often than this while the store is there.
+# The batcher of a part is closed after this time. Longer than any caller waits, so that
+# no submission is in flight.
+IDLE_PART_TIMEOUT_S = 10.0
+# While the store is available, the long polls of an entry host are answered more often
+# than this.
 CONTACT_TIMEOUT_S = 1.8
 
 
 class SubmitOutcome(StrEnum):
     """Outcome of a submission.
 
-    ``NOT_STORED``: the job is known not to be stored, and won't be. ``UNKNOWN``: it may
-    be stored.
+    ``REPEATED``: a job with this id was stored before. ``NOT_STORED``: the job isn't
+    stored and won't be. ``UNKNOWN``: it may be stored.
     """
 
     STORED = "stored"
@@ -66,7 +68,10 @@
 
 
 class CancelOutcome(StrEnum):
-    """Outcome of a cancellation."""
+    """Outcome of a cancellation.
+
+    ``UNKNOWN``: the cancellation may be stored.
+    """
 
     STORED = "stored"
     NO_SUCH_JOB = "no_such_job"
@@ -82,14 +87,14 @@
 
 
 class StoredJob(NamedTuple):
-    """Rows of a job that exist; ``version`` is that of the job's row."""
+    """Stored job; ``version`` is that of the job's row."""
 
     version: int
     is_cancelled: bool
 
 
 class JobStore:
-    """Rows of the jobs of all services. Thread-safe."""
+    """Submissions and cancellations of jobs of all services. Thread-safe."""
 
     def __init__(
         self,
@@ -98,43 +103,49 @@
         contact_age_s: Callable[[], float],
     ) -> None:
         """
-        :param contact_age_s: age of the store's last answer.
+        :param contact_age_s: returns the time in seconds since the store's last answer.
         """
         self._tables = tables
         self._clock = clock
         self.contact_age_s = contact_age_s
         self._lock = threading.Lock()
         self._batchers: dict[str, InsertBatcher] = {}
-        self._used_s: dict[str, float] = {}
+        self._last_used_s: dict[str, float] = {}
 
     def submit(self, job_id: str, row: JobRow, *, deadline_s: float) -> SubmitOutcome:
-        """Stores a job unless one with this id is stored already.
+        """Stores a job unless one with this id exists.
 
-        :param deadline_s: monotonic time at which the caller stops waiting.
+        :param deadline_s: monotonic time in seconds at which the caller stops waiting.
+        :returns: the outcome, ``UNKNOWN`` if any attempt may still take effect.
         """
         service = row.queue.service
         insert = Insert((Put(jobs_table(service), job_id, encode_row(row)),))
         if not self._is_reachable():
-            # Nothing was sent, so that the caller may try at another host.
+            # Nothing was sent, so that the caller may retry at another entry host.
             return SubmitOutcome.NOT_STORED
-        batcher = self._batcher(jobs_part(service, job_id))
-        is_doubtful = False
+        batcher = self._get_batcher(jobs_part(service, job_id))
+        is_possibly_stored = False
         while True:
             result = batcher.insert(insert, deadline_s=deadline_s)
             outcome = _SUBMIT_OUTCOMES.get(result.outcome, SubmitOutcome.UNKNOWN)
             if outcome in (SubmitOutcome.STORED, SubmitOutcome.REPEATED):
                 return outcome
-            # An earlier try that got no answer may still take effect.
-            is_doubtful = is_doubtful or outcome is SubmitOutcome.UNKNOWN
-            if not self._may_retry(deadline_s):
-                return SubmitOutcome.UNKNOWN if is_doubtful else outcome
+            # An earlier attempt without an answer may still take effect.
+            is_possibly_stored = is_possibly_stored or outcome is SubmitOutcome.UNKNOWN
+            if not self._wait_for_retry(deadline_s):
+                return SubmitOutcome.UNKNOWN if is_possibly_stored else outcome
 
     def _is_reachable(self) -> bool:
-        """Whether a submission that the store refused may succeed soon."""
+        """
+        :returns: whether the store answered so recently that an attempt may succeed.
+        """
         return self.contact_age_s() < CONTACT_TIMEOUT_S
 
-    def _may_retry(self, deadline_s: float) -> bool:
-        """Waits before another try, if one makes sense."""
+    def _wait_for_retry(self, deadline_s: float) -> bool:
+        """Waits before another attempt, if one can succeed before the deadline.
+
+        :returns: whether to retry.
+        """
         retry_s = random.uniform(RETRY_S, 2 * RETRY_S)
         is_last = self._clock.monotonic_s() + retry_s >= deadline_s
         if is_last or not self._is_reachable():
@@ -142,11 +153,11 @@
         threading.Event().wait(retry_s)
         return True
 
-    def _batcher(self, part: str) -> InsertBatcher:
+    def _get_batcher(self, part: str) -> InsertBatcher:
         now_s = self._clock.monotonic_s()
         with self._lock:
-            self._close_idle(now_s)
-            self._used_s[part] = now_s
+            self._close_idle_batchers(now_s)
+            self._last_used_s[part] = now_s
             batcher = self._batchers.get(part)
             if batcher is None:
                 batcher = InsertBatcher(
@@ -160,16 +171,16 @@
                 self._batchers[part] = batcher
             return batcher
 
-    def _close_idle(self, now_s: float) -> None:
-        """Ends threads of parts without submissions of late; each takes memory."""
-        for part, used_s in list(self._used_s.items()):
-            if now_s - used_s > IDLE_PART_S:
-                del self._used_s[part]
+    def _close_idle_batchers(self, now_s: float) -> None:
+        """Closes idle batchers, since the thread of each takes memory."""
+        for part, last_used_s in list(self._last_used_s.items()):
+            if now_s - last_used_s > IDLE_PART_TIMEOUT_S:
+                del self._last_used_s[part]
                 self._batchers.pop(part).close()
 
     def state(self, service: str, job_id: str) -> JobState | None:
         """
-        :returns: state of a job, ``None`` when there is none.
+        :returns: state of a job, ``None`` if the job doesn't exist.
         :raises PlatformError: when the store can't be read.
         """
         part = TablePart(self._tables, service)
@@ -195,15 +206,16 @@
         return StoredJob(versions[job_id], job_id + CANCEL_SUFFIX in versions)
 
     def cancel(self, service: str, job_id: str, *, deadline_s: float) -> CancelOutcome:
-        """Stores the cancellation of a job; it is idempotent.
+        """Stores the cancellation of a job; idempotent.
 
-        :param deadline_s: monotonic time at which the caller stops waiting.
+        :param deadline_s: monotonic time in seconds at which the caller stops waiting.
         """
         while True:
             try:
                 return self._cancel(service, job_id)
             except StoreConflictError:
-                # Another cancellation, or the end of the job's retention, came first.
+                # A concurrent cancellation, or the deletion at the end of the job's
+                # retention, was committed first.
                 continue
             except (StoreUnavailableError, StoreOutcomeUnknownError) as error:
                 _log.debug("cancel_retried", job=job_id, error=str(error))
@@ -231,7 +243,7 @@
 
     def pending_count(self, service: str, queue: str) -> int:
         """
-        :returns: accepted jobs of the queue for which no task has started.
+        :returns: number of accepted jobs of the queue of which no task has started.
         :raises PlatformError: when the store can't be read.
         """
         part = TablePart(self._tables, service)
--- a/src/sycamorecroft/serving/router.py
+++ b/src/sycamorecroft/serving/router.py
@@ -1,19 +1,19 @@
-"""Finds the queue of a request by host name and path."""
+"""Routing of requests to queues by host name and path prefix."""
 
 from typing import NamedTuple
 
 from sycamorecroft.scheduling.model import FleetSnapshot, Queue
 
 
-class Target(NamedTuple):
-    """Queue of a request, and what follows its prefix in the path."""
+class RouteMatch(NamedTuple):
+    """Queue of a request, and the path after the queue's prefix."""
 
     queue: Queue
-    rest: str
+    path_suffix: str
 
 
 class Router:
-    """Queues of one version of the configuration. Immutable."""
+    """Routing table of one version of the configuration. Immutable."""
 
     def __init__(self, fleet: FleetSnapshot) -> None:
         self.fleet = fleet
@@ -23,13 +23,14 @@
         for queues in self._queues.values():
             queues.sort(key=lambda queue: len(queue.path_prefix), reverse=True)
 
-    def find(self, host_name: str, path: str) -> Target | None:
+    def find(self, host_name: str, path: str) -> RouteMatch | None:
         """
-        :param host_name: name that the caller asked for, with or without a port.
-        :returns: the queue with the longest matching prefix.
+        :param host_name: value of the ``Host`` header, with or without a port.
+        :param path: path of the request.
+        :returns: match of the longest prefix, ``None`` if no queue matches.
         """
         name = host_name.partition(":")[0].lower()
         for queue in self._queues.get(name, ()):
             if path.startswith(queue.path_prefix):
-                return Target(queue, path[len(queue.path_prefix) :])
+                return RouteMatch(queue, path[len(queue.path_prefix) :])
         return None
--- a/src/sycamorecroft/serving/tests/test_application.py
+++ b/src/sycamorecroft/serving/tests/test_application.py
@@ -1,4 +1,4 @@
-"""Tests of the answers that callers get."""
+"""Tests of the responses to callers."""
 
 import io
 import json
@@ -39,7 +39,7 @@
         self.tables = MemoryPartitions()
         self.router = Router(decode_fleet(json.dumps(FLEET).encode()))
         self.contact_age_s = 0.0
-        self.sizes: tuple[Resources, ...] = ()
+        self.host_sizes: tuple[Resources, ...] = ()
         clock = SystemClock()
         store = JobStore(self.tables, clock, lambda: self.contact_age_s)
         self.application = JobApplication(
@@ -48,7 +48,7 @@
             store,
             clock,
             ServingSettings(65536),
-            machine_sizes=lambda: self.sizes,
+            host_sizes=lambda: self.host_sizes,
         )
 
     def call(self, method, path, body=b"", host="jobs.example", timeout_ms="500"):
@@ -65,8 +65,8 @@
             self.status = int(status.split()[0])
             self.headers = dict(headers)
 
-        answer = b"".join(self.application(environ, start_response))
-        return self.status, json.loads(answer)
+        response = b"".join(self.application(environ, start_response))
+        return self.status, json.loads(response)
 
 
 @pytest.fixture
@@ -78,8 +78,8 @@
     return json.dumps(JOB | changes).encode()
 
 
-def test_job_is_accepted_shown_and_cancelled(caller):
-    """Guards against answers that don't tell what the store holds."""
+def test_job_is_submitted_reported_and_cancelled(caller):
+    """Guards against responses that differ from what is stored."""
     path = f"/a/{JOB_ID}"
     assert caller.call("GET", path)[0] == 410
     assert caller.call("POST", path, _job())[0] == 200
@@ -97,23 +97,25 @@
 
 @pytest.mark.parametrize("path", ["/x/" + JOB_ID, "/a/short", "/a/" + "G" * 16])
 def test_unknown_paths_are_not_found(caller, path):
-    """Guards against jobs under names that no queue has."""
+    """Guards against jobs submitted under paths that match no queue."""
     assert caller.call("POST", path, _job())[0] == 404
 
 
-def test_task_that_no_machine_can_hold_is_refused_at_once(caller):
-    """Guards against a job that waits for ever, and against one refused too early."""
-    large = _job(phases=[{"count": 1, "cpu": 65000, "mem-mb": 10}])
-    assert caller.call("POST", f"/a/{JOB_ID}", large)[0] == 200
-    caller.sizes = (Resources(64000, 1000), Resources(8000, 9000))
-    other = "f" * 16
-    status, answer = caller.call("POST", f"/a/{other}", large)
+def test_task_that_fits_on_no_host_is_refused_at_once(caller):
+    """Guards against jobs that can never be placed and against premature refusals."""
+    large_job = _job(phases=[{"count": 1, "cpu": 65000, "mem-mb": 10}])
+    assert caller.call("POST", f"/a/{JOB_ID}", large_job)[0] == 200
+    caller.host_sizes = (Resources(64000, 1000), Resources(8000, 9000))
+    other_job_id = "f" * 16
+    status, response = caller.call("POST", f"/a/{other_job_id}", large_job)
     assert status == 400
-    assert "split the task" in answer["reason"]
-    fitting = _job(phases=[{"count": 9, "cpu": 64000, "mem-mb": 1000}])
-    assert caller.call("POST", f"/a/{other}", fitting)[0] == 200
-    filling = _job(phases=[{"count": 1, "cpu": 99000, "mem-mb": 10, "fills": True}])
-    assert caller.call("POST", f"/a/{'e' * 16}", filling)[0] == 200
+    assert "split the task" in response["reason"]
+    fitting_job = _job(phases=[{"count": 9, "cpu": 64000, "mem-mb": 1000}])
+    assert caller.call("POST", f"/a/{other_job_id}", fitting_job)[0] == 200
+    whole_host_job = _job(
+        phases=[{"count": 1, "cpu": 99000, "mem-mb": 10, "fills": True}]
+    )
+    assert caller.call("POST", f"/a/{'e' * 16}", whole_host_job)[0] == 200
 
 
 def test_unknown_host_is_not_found(caller):
@@ -122,7 +124,7 @@
 
 
 def test_no_configuration_is_unavailable(caller):
-    """Guards against a refusal for good while the host is still starting."""
+    """Guards against a permanent refusal while the entry host is still starting."""
     caller.router = None
     status, _ = caller.call("POST", f"/a/{JOB_ID}", _job())
     assert status == 503
@@ -148,11 +150,11 @@
         _job(times=-1),
     ],
 )
-def test_bad_jobs_are_refused(caller, body):
-    """Guards against a job that can't run, or input that ends a process."""
-    status, answer = caller.call("POST", f"/a/{JOB_ID}", body)
+def test_invalid_jobs_are_refused(caller, body):
+    """Guards against jobs that can't run and against input that crashes a process."""
+    status, response = caller.call("POST", f"/a/{JOB_ID}", body)
     assert status == 400
-    assert answer["reason"]
+    assert response["reason"]
     assert caller.call("GET", f"/a/{JOB_ID}")[0] == 410
 
 
@@ -162,8 +164,8 @@
     assert caller.call("POST", f"/a/{JOB_ID}", body)[0] == 413
 
 
-def test_dark_store_refuses_and_says_when_to_come_back(caller):
-    """Guards against a claim that a job was accepted while it can't be stored."""
+def test_store_outage_refuses_with_retry_after(caller):
+    """Guards against a job that is reported as accepted but can't be stored."""
     caller.tables.is_dark = True
     caller.contact_age_s = 3.2
     assert caller.call("POST", f"/a/{JOB_ID}", _job())[0] == 503
@@ -174,7 +176,7 @@
     assert caller.call("GET", f"/a/{JOB_ID}")[0] == 503
 
 
-def test_answer_without_knowledge_is_no_refusal(caller):
+def test_unknown_outcome_is_no_refusal(caller):
     """Guards against a refusal of a job that is stored seconds later."""
     caller.tables.faulty_table = f"jobs.{SERVICE}"
     caller.tables.delayed_count = 99
--- a/src/sycamorecroft/serving/tests/test_job_store.py
+++ b/src/sycamorecroft/serving/tests/test_job_store.py
@@ -1,4 +1,4 @@
-"""Tests of storing submissions and cancellations."""
+"""Tests of storing submissions and cancellations of jobs."""
 
 import threading
 import time
@@ -22,7 +22,7 @@
 
 
 class _RefusingTables(MemoryPartitions):
-    """Refuses the first transactions, as a part does whose queue is full."""
+    """Refuses the first transactions, like a part whose request queue is full."""
 
     refusals_count = 0
     refusals_after_delay = False
@@ -37,7 +37,7 @@
 
 
 class _SkippingClock(SystemClock):
-    """Goes on by itself and can skip time."""
+    """System clock that can skip time."""
 
     skipped_s = 0.0
 
@@ -60,34 +60,34 @@
     return store.submit(JOB_ID, ROW, deadline_s=deadline_s)
 
 
-def test_submissions_to_a_slow_store_lie_in_many_parts():
-    """Guards against submissions of many hosts that wait for one part's transactions.
+def test_job_ids_spread_over_enough_parts_for_a_slow_store():
+    """Guards against submissions of many entry hosts that queue up for one part.
 
-    A store a hundred times slower stores 1.3 transactions a second in one part; a
-    peak of 58 jobs a second of one service has to get through.
+    A store that is a hundred times slower commits 1.3 transactions a second in one
+    part; one service's peak of 58 jobs a second must be stored.
     """
     parts = {jobs_part(SERVICE, f"{number:016x}") for number in range(2000)}
     assert len(parts) * 1.3 >= 58
 
 
-def test_threads_of_parts_end_when_nothing_is_submitted(tables):
-    """Guards against memory for a thread of each part that was ever used."""
+def test_threads_of_idle_parts_end(tables):
+    """Guards against memory use by a thread for each part that was ever used."""
     clock = _SkippingClock()
     store = JobStore(tables, clock, lambda: 0.0)
-    before = threading.active_count()
+    initial_count = threading.active_count()
     for number in range(50):
         store.submit(f"{number:016x}", ROW, deadline_s=clock.monotonic_s() + 5)
-    assert threading.active_count() > before + 20
+    assert threading.active_count() > initial_count + 20
     clock.skipped_s = 11.0
     store.submit("f" * 16, ROW, deadline_s=clock.monotonic_s() + 5)
     end_s = time.monotonic() + 5
-    while threading.active_count() > before + 1 and time.monotonic() < end_s:
+    while threading.active_count() > initial_count + 1 and time.monotonic() < end_s:
         time.sleep(0.01)
-    assert threading.active_count() <= before + 1
+    assert threading.active_count() <= initial_count + 1
 
 
-def test_repeated_submission_is_one_job(store, tables):
-    """Guards against a second job when the answer to the first try was lost."""
+def test_repeated_submission_stores_one_job(store, tables):
+    """Guards against a second job when the answer to the first attempt was lost."""
     assert _submit(store) is SubmitOutcome.STORED
     version = tables.version
     assert _submit(store) is SubmitOutcome.REPEATED
@@ -95,31 +95,31 @@
     assert store.state(SERVICE, JOB_ID) is JobState.QUEUED
 
 
-def test_submission_that_a_full_part_refuses_is_tried_again(store, tables):
-    """Guards against refusals to callers while the store is slow but serves."""
+def test_submission_refused_by_a_full_part_is_retried(store, tables):
+    """Guards against refusals to callers while the store is slow but available."""
     tables.refusals_count = 2
     assert _submit(store, timeout_s=2.0) is SubmitOutcome.STORED
 
 
-def test_submission_is_refused_at_once_while_the_store_is_away(tables):
-    """Guards against holding callers whose jobs can't be stored."""
+def test_submission_is_refused_at_once_during_store_outage(tables):
+    """Guards against callers that wait although their jobs can't be stored."""
     store = JobStore(tables, SystemClock(), lambda: 9.0)
     tables.is_dark = True
-    begin_s = SystemClock().monotonic_s()
+    start_s = SystemClock().monotonic_s()
     assert _submit(store, timeout_s=3.0) is SubmitOutcome.NOT_STORED
-    assert SystemClock().monotonic_s() - begin_s < 0.5
+    assert SystemClock().monotonic_s() - start_s < 0.5
 
 
-def test_submission_without_an_answer_is_sent_again(store, tables):
-    """Guards against a doubt that keeps the caller from trying again."""
+def test_submission_without_an_answer_is_retried(store, tables):
+    """Guards against an unknown outcome, after which the caller doesn't retry."""
     tables.faulty_table = "jobs.rating"
     tables.delayed_count = 1
     assert _submit(store, timeout_s=2.0) is SubmitOutcome.STORED
     assert tables.apply_delayed() == 0
 
 
-def test_doubtful_submission_is_not_refused_later(store, tables):
-    """Guards against a refusal of a job that an earlier try stores seconds later."""
+def test_submission_with_unknown_outcome_is_not_refused_later(store, tables):
+    """Guards against a refusal of a job that an earlier attempt stores later."""
     tables.faulty_table = "jobs.rating"
     tables.delayed_count = 1
     tables.refusals_after_delay = True
@@ -127,19 +127,19 @@
     assert tables.apply_delayed() == 1
 
 
-def test_lost_answer_is_read_back(store, tables):
-    """Guards against a doubt about a job that the store shows."""
+def test_lost_answer_is_resolved_by_reading_back(store, tables):
+    """Guards against an unknown outcome for a job that is stored."""
     tables.faulty_table = "jobs.rating"
     tables.lost_answers_count = 1
     assert _submit(store) is SubmitOutcome.STORED
 
 
 def test_cancellation_is_idempotent(store):
-    """Guards against an error when a cancellation is sent again."""
+    """Guards against an error when a cancellation is repeated."""
     deadline_s = SystemClock().monotonic_s() + 1
     cancel = store.cancel
-    no_job = cancel(SERVICE, JOB_ID, deadline_s=deadline_s)
-    assert no_job is CancelOutcome.NO_SUCH_JOB
+    unknown_job = cancel(SERVICE, JOB_ID, deadline_s=deadline_s)
+    assert unknown_job is CancelOutcome.NO_SUCH_JOB
     _submit(store)
     assert cancel(SERVICE, JOB_ID, deadline_s=deadline_s) is CancelOutcome.STORED
     assert cancel(SERVICE, JOB_ID, deadline_s=deadline_s) is CancelOutcome.STORED
@@ -169,8 +169,8 @@
     assert outcomes == [SubmitOutcome.STORED] * 40
 
 
-def test_host_cut_off_from_the_store_refuses_without_a_doubt(tables):
-    """Guards against doubtful answers after which callers don't try another host."""
+def test_entry_host_without_store_contact_refuses_definitely(tables):
+    """Guards against unknown outcomes, after which callers don't try another host."""
     store = JobStore(tables, SystemClock(), lambda: 9.0)
     tables.faulty_table = "jobs.rating"
     tables.delayed_count = 1
