--- a/src/sycamorecroft/ownership/owner.py
+++ b/src/sycamorecroft/ownership/owner.py
@@ -14,7 +14,7 @@
     StoreHistoryLostError,
 )
 from sycamorecroft.ownership.committer import ServiceClaim
-from sycamorecroft.ownership.entry_hosts import (
+from sycamorecroft.ownership.hosts import (
     ENTRY_HOSTS_TABLE,
     IDLE_INTERVAL_S,
     IDLE_TIMEOUT_S,
--- a/src/sycamorecroft/ownership/tests/test_ownership.py
+++ b/src/sycamorecroft/ownership/tests/test_ownership.py
@@ -5,7 +5,7 @@
 from standins.memory_partitions import MemoryPartitions
 from sycamorecroft.clock import ManualClock
 from sycamorecroft.errors import StoreUnavailableError
-from sycamorecroft.ownership.entry_hosts import IDLE_INTERVAL_S, OWNER_INTERVAL_S
+from sycamorecroft.ownership.hosts import IDLE_INTERVAL_S, OWNER_INTERVAL_S
 from sycamorecroft.ownership.owner import Ownership, OwnershipLimits
 from sycamorecroft.ownership.rows import OWNERS_TABLE
 
