--- a/benchmarks/buffer.py
+++ b/benchmarks/buffer.py
@@ -21,7 +21,7 @@
 
 from sycamorecroft.pools.planning import (
     BufferPlan,
-    BufferRequest,
+    BufferPlanInput,
     PlacedHost,
     plan_buffer,
 )
@@ -69,9 +69,9 @@
     return held - need
 
 
-def _require_survival(request: BufferRequest, plan: BufferPlan) -> None:
+def _require_survival(request: BufferPlanInput, plan: BufferPlan) -> None:
     """Tries each rack failure with each choice of a wave, pool by pool."""
-    held = [host for host in request.hosts if host.host in plan.held_hosts]
+    held = [host for host in request.hosts if host.host in plan.allocated_hosts]
     for failed in {host.rack for host in held}:
         left = [host for host in held if host.rack != failed]
         largest = {
@@ -90,7 +90,7 @@
     batches = dict.fromkeys(POOLS, 1)
     for step in range(STEPS_COUNT):
         needs = _needs(step, source)
-        request = BufferRequest(_site(), needs, batches)
+        request = BufferPlanInput(_site(), needs, batches)
         plan = plan_buffer(request)
         _require_survival(request, plan)
         if plan.missing_count:
@@ -102,7 +102,7 @@
     )
 
 
-def _small_case(source: random.Random) -> BufferRequest:
+def _small_case(source: random.Random) -> BufferPlanInput:
     pools, racks = ("a", "b", "c"), ("r0", "r1", "r2", "r3")
     cells = [(pool, rack) for pool in pools for rack in racks]
     counts = {cell: source.choice((0, 0, 1, 1, 2, 3)) for cell in cells}
@@ -112,17 +112,17 @@
         for number in range(count)
     )
     needs = {pool: source.randint(0, 3) for pool in pools}
-    return BufferRequest(hosts, needs, dict.fromkeys(pools, source.randint(0, 1)))
+    return BufferPlanInput(hosts, needs, dict.fromkeys(pools, source.randint(0, 1)))
 
 
-def _choices(request: BufferRequest) -> Iterator[Counter[tuple[str, str]]]:
+def _choices(request: BufferPlanInput) -> Iterator[Counter[tuple[str, str]]]:
     sizes = Counter((host.pool, host.rack) for host in request.hosts)
     cells = sorted(sizes)
     for counts in itertools.product(*(range(sizes[cell] + 1) for cell in cells)):
         yield Counter(dict(zip(cells, counts, strict=True)))
 
 
-def _exact_reserve(request: BufferRequest) -> int | None:
+def _exact_reserve(request: BufferPlanInput) -> int | None:
     wanted = Counter(request.needs) + Counter(request.batches)
     owned = Counter(host.pool for host in request.hosts)
     floors = {pool: min(wanted[pool], owned[pool]) for pool in owned}
@@ -171,7 +171,7 @@
         for number in range(1000)
     )
     pools = [f"p{number}" for number in range(22)]
-    request = BufferRequest(hosts, dict.fromkeys(pools, 30), dict.fromkeys(pools, 2))
+    request = BufferPlanInput(hosts, dict.fromkeys(pools, 30), dict.fromkeys(pools, 2))
     start_s = time.perf_counter()
     plan_buffer(request)
     return time.perf_counter() - start_s
--- a/benchmarks/moves.py
+++ b/benchmarks/moves.py
@@ -22,9 +22,9 @@
 from sycamorecroft.invariants import PoolAvailability, check_availability_budget
 from sycamorecroft.pools.demand import DemandTracker, PoolNeed
 from sycamorecroft.pools.planning import (
-    MOVE_PRICE_S,
+    MOVE_COST_S,
     Move,
-    MoveRequest,
+    MovePlanInput,
     plan_moves,
     supply_counts,
 )
@@ -137,7 +137,7 @@
         for pool, tracker in self._trackers.items():
             tracker.observe(demand[pool], now_s)
             needs[pool] = tracker.need(supplies.get(pool, 0), now_s)
-        return _plan(hosts, needs, price_s=MOVE_PRICE_S)
+        return _plan(hosts, needs, price_s=MOVE_COST_S)
 
 
 def _plan(
@@ -154,7 +154,7 @@
         )
         for pool in POOLS
     }
-    return plan_moves(MoveRequest(tuple(hosts), budgets, needs, price_s=price_s)).moves
+    return plan_moves(MovePlanInput(tuple(hosts), budgets, needs, cost_s=price_s)).moves
 
 
 def run_day(policy: Policy, demand: Sequence[Mapping[str, float]]) -> Outcome:
--- a/properties/test_pools.py
+++ b/properties/test_pools.py
@@ -95,7 +95,7 @@
 
     def begin_move(self, first: int, second: int) -> None:
         target = POOLS[second % len(POOLS)].name
-        self.registry(first).begin_move(self.host(first // 2), target)
+        self.registry(first).start_move(self.host(first // 2), target)
 
     def complete_moves(self, first: int, second: int) -> None:
         registry = self.registry(first)
@@ -114,7 +114,7 @@
         self.registry(first).cancel_move(self.host(second))
 
     def take_out(self, first: int, second: int) -> None:
-        self.registry(first).take_out(self.host(second))
+        self.registry(first).take_out_of_service(self.host(second))
 
     def return_to_service(self, first: int, second: int) -> None:
         record = self.fleet.host_records().get(self.host(second))
--- a/src/sycamorecroft/claims/__init__.py
+++ b/src/sycamorecroft/claims/__init__.py
@@ -1,4 +1,4 @@
-"""At-most-once claims for non-idempotent requests."""
+"""At-most-once execution of non-idempotent requests by claims on idempotency keys."""
 
 from sycamorecroft.claims.interfaces import (
     ClaimKey,
--- a/src/sycamorecroft/claims/interfaces.py
+++ b/src/sycamorecroft/claims/interfaces.py
@@ -6,7 +6,7 @@
 
 
 class ClaimKey(NamedTuple):
-    """Scope of an idempotency key."""
+    """Idempotency key within its scope, an account and a service."""
 
     account: str
     service: str
@@ -14,7 +14,7 @@
 
 
 class RecordedResponse(NamedTuple):
-    """Whole response of a backend server, kept for repeated requests."""
+    """Complete response of a backend server, replayed for repeated requests."""
 
     status: int
     headers: Mapping[str, str]
@@ -22,14 +22,14 @@
 
 
 class HeldClaim(NamedTuple):
-    """Claim held by this daemon: it may dispatch the request once."""
+    """Claim held by this daemon, which may dispatch the request once."""
 
     key: ClaimKey
     token: str
 
 
 class PendingClaim(NamedTuple):
-    """Claim of another attempt without a recorded response: outcome unknown."""
+    """Claim of another attempt, without a recorded response; its outcome is unknown."""
 
     key: ClaimKey
 
@@ -38,23 +38,27 @@
 
 
 class Claims(ABC):
-    """At-most-once claims, kept in the platform's table service."""
+    """At-most-once claims on idempotency keys."""
 
     @abstractmethod
     def claim(
         self, key: ClaimKey, *, body_digest: str, deadline_s: float
     ) -> ClaimResult:
-        """
+        """Claims a key, or finds the claim or response of another attempt.
+
         :param body_digest: digest of the request's body and content type.
-        :param deadline_s: monotonic time after which the caller no longer waits.
-        :raises NotRunError: when the claim is not known to be held; never dispatch.
+        :param deadline_s: monotonic time in seconds at which the caller stops waiting.
+        :returns: the claim held, the pending claim of another attempt, or the recorded
+            response.
+        :raises NotRunError: when the claim isn't known to be held; the request must not
+            be dispatched.
         :raises RequestError: when the key was used with another body.
         """
 
     @abstractmethod
     def record(self, claim: HeldClaim, response: RecordedResponse) -> None:
-        """Keeps the response for repeated requests; retries in the background."""
+        """Records the response for repeated requests; retries in background."""
 
     @abstractmethod
     def release(self, claim: HeldClaim) -> None:
-        """Gives up a claim whose request is known not to have run; retries."""
+        """Releases the claim of a request that did not run; retries in background."""
--- a/src/sycamorecroft/claims/records.py
+++ b/src/sycamorecroft/claims/records.py
@@ -1,4 +1,4 @@
-"""Rows of the tables ``claims`` and ``claims_by_day``."""
+"""Encoding of the rows of tables ``claims`` and ``claims_by_day``."""
 
 import base64
 import hashlib
@@ -16,7 +16,7 @@
 
 
 class StoredResponse(TypedDict):
-    """Recorded response; the body is in the row or in the object store."""
+    """Recorded response, with its body in the row or in the object store."""
 
     status: int
     headers: dict[str, str]
@@ -25,7 +25,7 @@
 
 
 class ClaimRecord(TypedDict):
-    """Value of a row of table ``claims``; its key is the digest of the claim key."""
+    """Value of a row of table ``claims``, whose key is the digest of the claim key."""
 
     account: str
     service: str
@@ -36,7 +36,7 @@
 
 
 class ClaimVersion(NamedTuple):
-    """A claim row as last written by its claimant."""
+    """A claim row and the commit number that wrote it."""
 
     record: ClaimRecord
     version: int
@@ -44,21 +44,22 @@
 
 def row_key(key: ClaimKey) -> str:
     """
-    :returns: digest of the claim key; free of separators and of bounded length.
+    :returns: hexadecimal digest of the claim key, without separators and of bounded
+        length.
     """
     return hashlib.sha256(json.dumps(list(key)).encode()).hexdigest()
 
 
 def object_key(claim_row_key: str, token: str) -> str:
     """
-    :returns: key in the object store of a recorded body.
+    :returns: key of a recorded body in the object store.
     """
     return f"claims/{claim_row_key}/{token}"
 
 
 def claim_puts(claim_row_key: str, record: ClaimRecord) -> tuple[Put, Put]:
     """
-    :returns: the claim row first, then its row by day.
+    :returns: puts of the claim row and of its row in the index by day, in this order.
     """
     response = record["response"]
     body_key = response["object_key"] if response else None
@@ -70,7 +71,7 @@
 
 def claim_deletes(claim_row_key: str, day: str) -> tuple[Put, Put]:
     """
-    :returns: deletion of the claim row and of its row by day.
+    :returns: deletions of the claim row and of its row in the index by day.
     """
     return (
         Put(CLAIMS_TABLE, claim_row_key, None),
@@ -80,7 +81,8 @@
 
 def decode_claim(value: bytes) -> ClaimRecord:
     """
-    :param value: JSON text of a row of table ``claims``.
+    :param value: JSON value of a row of table ``claims``.
+    :returns: the record.
     """
     return json.loads(value)
 
@@ -89,7 +91,9 @@
     response: RecordedResponse, body_object_key: str | None
 ) -> StoredResponse:
     """
-    :param body_object_key: key of the stored body, ``None`` to keep it in the row.
+    :param body_object_key: key of the body in the object store, ``None`` to store the
+        body in the row.
+    :returns: the response as it is stored in a claim row.
     """
     body = base64.b64encode(response.body).decode() if body_object_key is None else None
     return {
@@ -104,8 +108,9 @@
     stored: StoredResponse, object_body: bytes | None
 ) -> RecordedResponse | None:
     """
-    :param object_body: body read from the object store, if it is kept there.
-    :returns: ``None`` when the body is missing.
+    :param object_body: body read from the object store, ``None`` if it is in the row
+        or missing.
+    :returns: the response, ``None`` when its body is missing.
     """
     body = object_body
     if stored["body_base64"] is not None:
--- a/src/sycamorecroft/claims/service.py
+++ b/src/sycamorecroft/claims/service.py
@@ -1,4 +1,4 @@
-"""At-most-once claims in the platform's table service."""
+"""Claims on idempotency keys, kept in the platform's table service."""
 
 import random
 import threading
@@ -24,7 +24,7 @@
     load_response,
     row_key,
 )
-from sycamorecroft.claims.writer import RECHECK_DELAYS_S, ClaimWork, ClaimWriter
+from sycamorecroft.claims.writer import RECHECK_DELAYS_S, ClaimWrite, ClaimWriter
 from sycamorecroft.clock import Clock
 from sycamorecroft.errors import NotRunError, PlatformError, RequestError
 from sycamorecroft.invariants import check_single_dispatch
@@ -41,14 +41,14 @@
     TableService,
 )
 
-# An insert conflicts with an absent row only if the other claim was released in
-# between; more than a few in a row mean that the key is contended.
+# The row is absent after a conflict only if the other claim was released in between;
+# several such conflicts in sequence mean that the key is contended.
 CLAIM_ATTEMPTS_MAX_COUNT = 3
-HELD_MAX_COUNT = 8192
+HELD_CLAIMS_MAX_COUNT = 8192
 
 
 class ClaimSettings(NamedTuple):
-    """Settings of the claim service."""
+    """Settings of the claim service; ``stop_timeout_s`` bounds the last writes."""
 
     batch: BatchSettings = BatchSettings()
     stop_timeout_s: float = 5.0
@@ -67,16 +67,17 @@
         "store_budget", "the store budget for claims is used up; repeat later"
     ),
     InsertOutcome.EXPIRED: _Refusal(
-        "deadline", "the deadline passed before the claim was held"
+        "deadline", "the deadline passed before the claim was held; repeat later"
     ),
 }
 
 
 class ClaimService(Claims):
-    """Thread-safe; ``start`` and ``stop`` frame its use.
+    """Keeps claims in the table service; inserts are batched.
 
-    A ``NotRunError`` speaks of this attempt: another attempt of the same key, which
-    this daemon could not see, may have run.
+    Thread-safe. Call :meth:`start` before and :meth:`stop` after use. A ``NotRunError``
+    refers to this attempt only: another attempt with the same key, which this daemon
+    could not see, may have run.
     """
 
     def __init__(
@@ -90,8 +91,8 @@
         random_source: random.Random | None = None,
     ) -> None:
         """
-        :param new_token: returns a token that is unique over all daemons.
-        :param random_source: source of retry jitter.
+        :param new_token: returns a token that is unique across all daemons.
+        :param random_source: source of the jitter of retries.
         """
         self._tables = tables
         self._objects = objects
@@ -107,19 +108,20 @@
             tables,
             clock,
             purpose=StorePurpose.CLAIMS,
-            late_commit=self._release_late,
+            late_commit=self._release_late_commit,
             settings=settings.batch,
         )
 
     def start(self) -> None:
-        """Starts the threads for batches and background writes; called once."""
+        """Starts the threads for batches and background writes; must be called once."""
         self._writer.start()
         self._batcher.start()
 
     def stop(self) -> int:
-        """Refuses new claims and writes what is left, within the stop timeout.
+        """Refuses new claims and writes queued records and releases until the timeout.
 
-        :returns: how many records and releases were given up; their claims stay.
+        :returns: number of records and releases that were not written; their claims
+            stay pending.
         """
         self._batcher.stop()
         return self._writer.stop(self._settings.stop_timeout_s)
@@ -137,28 +139,33 @@
             result = self._try_claim(key, body_digest, deadline_s)
             if result is not None:
                 return result
-        message = f"key {key.idempotency_key!r} is claimed and released too often"
+        message = (
+            f"idempotency key {key.idempotency_key!r} is claimed and released by other "
+            "attempts too often; repeat later"
+        )
         raise NotRunError("claim_contended", message)
 
     def record(self, claim: HeldClaim, response: RecordedResponse) -> None:
         self._writer.add(
-            ClaimWork(
+            ClaimWrite(
                 row_key(claim.key),
                 claim.token,
-                known=self._forget(claim.token),
+                last_written=self._pop_held(claim.token),
                 response=response,
             )
         )
 
     def release(self, claim: HeldClaim) -> None:
-        known = self._forget(claim.token)
-        self._writer.add(ClaimWork(row_key(claim.key), claim.token, known=known))
+        last_written = self._pop_held(claim.token)
+        self._writer.add(
+            ClaimWrite(row_key(claim.key), claim.token, last_written=last_written)
+        )
 
     def _try_claim(
         self, key: ClaimKey, body_digest: str, deadline_s: float
     ) -> ClaimResult | None:
         """
-        :returns: ``None`` when the claim that was in the way has been released.
+        :returns: ``None`` when the conflicting claim has been released since.
         """
         record: ClaimRecord = {
             "account": key.account,
@@ -171,47 +178,53 @@
         insert = Insert(claim_puts(row_key(key), record))
         outcome, version = self._batcher.insert(insert, deadline_s=deadline_s)
         if outcome is InsertOutcome.COMMITTED:
-            return self._hold(key, ClaimVersion(record, version), deadline_s)
+            return self._keep_held(key, ClaimVersion(record, version), deadline_s)
         if outcome is InsertOutcome.CONFLICT:
-            return self._after_conflict(key, record, deadline_s)
+            return self._resolve_conflict(key, record, deadline_s)
         if outcome is InsertOutcome.UNKNOWN:
-            return self._after_lost_response(key, record, deadline_s)
+            return self._resolve_lost_response(key, record, deadline_s)
         refusal = _REFUSALS[outcome]
         raise NotRunError(refusal.reason, refusal.message)
 
-    def _hold(self, key: ClaimKey, known: ClaimVersion, deadline_s: float) -> HeldClaim:
-        claim = HeldClaim(key, known.record["token"])
+    def _keep_held(
+        self, key: ClaimKey, last_written: ClaimVersion, deadline_s: float
+    ) -> HeldClaim:
+        claim = HeldClaim(key, last_written.record["token"])
         with self._lock:
-            self._held[claim.token] = known
-            if len(self._held) > HELD_MAX_COUNT:
+            self._held[claim.token] = last_written
+            if len(self._held) > HELD_CLAIMS_MAX_COUNT:
                 self._held.popitem(last=False)
         if self._clock.monotonic_s() >= deadline_s:
             self.release(claim)
             raise NotRunError(*_REFUSALS[InsertOutcome.EXPIRED])
         return claim
 
-    def _after_conflict(
+    def _resolve_conflict(
         self, key: ClaimKey, record: ClaimRecord, deadline_s: float
     ) -> ClaimResult | None:
         try:
             row = self._read(key)
         except PlatformError:
-            # Another attempt exists and may have run, so this is not "not run".
+            # Another attempt exists and may have run, so NotRunError would be wrong.
             return PendingClaim(key)
         if row is None:
             return None
         return self._resolve(key, record, row, deadline_s)
 
-    def _after_lost_response(
+    def _resolve_lost_response(
         self, key: ClaimKey, record: ClaimRecord, deadline_s: float
     ) -> ClaimResult:
-        """An absent row proves nothing: the insert may still be on its way."""
+        """Resolves an insert with unknown outcome by reading the row.
+
+        An absent row proves nothing, as the insert may still be in flight. Unless the
+        row shows the claim of this attempt, the claim is released in the background.
+        """
         try:
             row = self._read(key)
         except PlatformError:
             row = None
         if row is None or decode_claim(row.value or b"{}")["token"] != record["token"]:
-            self._release_unknown(row_key(key), record["token"])
+            self._release_with_rechecks(row_key(key), record["token"])
         if row is not None:
             return self._resolve(key, record, row, deadline_s)
         message = "the response to the claim was lost; repeat with the same key"
@@ -235,10 +248,10 @@
             raise RequestError(message)
         if found["token"] == own["token"]:
             check_single_dispatch(own["token"], int(found["response"] is not None))
-            return self._hold(key, ClaimVersion(found, row.version), deadline_s)
-        return self._recorded(found) or PendingClaim(key)
+            return self._keep_held(key, ClaimVersion(found, row.version), deadline_s)
+        return self._load_recorded(found) or PendingClaim(key)
 
-    def _recorded(self, found: ClaimRecord) -> RecordedResponse | None:
+    def _load_recorded(self, found: ClaimRecord) -> RecordedResponse | None:
         stored = found["response"]
         if stored is None:
             return None
@@ -250,15 +263,17 @@
                 return None
         return load_response(stored, body)
 
-    def _forget(self, token: str) -> ClaimVersion | None:
+    def _pop_held(self, token: str) -> ClaimVersion | None:
         with self._lock:
             return self._held.pop(token, None)
 
-    def _release_late(self, insert: Insert) -> None:
+    def _release_late_commit(self, insert: Insert) -> None:
         first = insert.puts[0]
         assert first.value is not None
-        self._release_unknown(first.key, decode_claim(first.value)["token"])
+        self._release_with_rechecks(first.key, decode_claim(first.value)["token"])
 
-    def _release_unknown(self, claim_row_key: str, token: str) -> None:
-        work = ClaimWork(claim_row_key, token, known=None, rechecks=RECHECK_DELAYS_S)
-        self._writer.add(work)
+    def _release_with_rechecks(self, claim_row_key: str, token: str) -> None:
+        write = ClaimWrite(
+            claim_row_key, token, last_written=None, recheck_delays_s=RECHECK_DELAYS_S
+        )
+        self._writer.add(write)
--- a/src/sycamorecroft/claims/writer.py
+++ b/src/sycamorecroft/claims/writer.py
@@ -1,4 +1,4 @@
-"""Background writes of claims: recorded responses and releases, with retries."""
+"""Background writer of recorded responses and releases of claims, with retries."""
 
 import random
 from collections.abc import Sequence
@@ -32,12 +32,12 @@
     TableService,
 )
 
-# A write whose answer was lost may still arrive. Its release is repeated after these
-# delays, which reach well past the platform client's timeout of 1 s.
+# An insert whose response was lost may still take effect later. Its release is repeated
+# after these delays, which extend well beyond the platform client's timeout of 1 s.
 RECHECK_DELAYS_S = (1.0, 4.0, 16.0, 64.0)
 RETRY_FIRST_S = 0.1
 RETRY_MAX_S = 5.0
-LINGER_S = 0.02
+BATCH_LINGER_S = 0.02
 BATCH_MAX_COUNT = 64
 BATCH_MAX_BYTES = 512 * 1024
 BACKLOG_MAX_BYTES = 32 * 1024 * 1024
@@ -45,11 +45,12 @@
 _log = structlog.get_logger(__name__)
 
 
-class ClaimWork:
-    """A record (``response`` is set) or a release of one claim.
+class ClaimWrite:
+    """A pending write to one claim: a record (``response`` is set) or a release.
 
-    ``known`` is the row as last written by this claimant, ``None`` when it has to be
-    read first. ``rechecks`` are the delays after which a release is repeated.
+    ``last_written`` is the row as last written by this claimant, ``None`` when it must
+    be read first. ``recheck_delays_s`` are the delays after which a release is
+    repeated, each counted from the previous one.
     """
 
     def __init__(
@@ -57,15 +58,15 @@
         claim_row_key: str,
         token: str,
         *,
-        known: ClaimVersion | None,
+        last_written: ClaimVersion | None,
         response: RecordedResponse | None = None,
-        rechecks: Sequence[float] = (),
+        recheck_delays_s: Sequence[float] = (),
     ) -> None:
         self.claim_row_key = claim_row_key
         self.token = token
-        self.known = known
+        self.last_written = last_written
         self.response = response
-        self.rechecks = tuple(rechecks)
+        self.recheck_delays_s = tuple(recheck_delays_s)
         self.due_s = 0.0
         self.failures_count = 0
         self.is_body_stored = False
@@ -74,13 +75,13 @@
     @property
     def size_bytes(self) -> int:
         """
-        :returns: bytes of the response's body that this work keeps in memory.
+        :returns: size of the response body that is kept in memory until written.
         """
         return len(self.response.body) if self.response is not None else 0
 
 
 class ClaimWriter:
-    """One thread that writes records and releases in batches and retries them."""
+    """Writes records and releases in batches on one thread, and retries them."""
 
     def __init__(
         self,
@@ -95,52 +96,55 @@
         self._clock = clock
         self._random = random_source
         self._changed = Condition()
-        self._backlog: list[ClaimWork] = []
+        self._backlog: list[ClaimWrite] = []
         self._backlog_bytes = 0
         self._in_progress_count = 0
-        self._stop_s: float | None = None
+        self._stop_deadline_s: float | None = None
         self._thread = Thread(target=self._run, name="claim-writer", daemon=True)
 
     def start(self) -> None:
-        """Starts the thread; called once."""
+        """Starts the thread; must be called once."""
         self._thread.start()
 
     def stop(self, timeout_s: float) -> int:
-        """Writes what is left, at most for ``timeout_s`` seconds.
+        """Writes the backlog and ends the thread.
 
-        :returns: how many records and releases were given up.
+        :param timeout_s: seconds after which no further write is started.
+        :returns: number of records and releases that were not written.
         """
         with self._changed:
-            self._stop_s = self._clock.monotonic_s() + timeout_s
+            self._stop_deadline_s = self._clock.monotonic_s() + timeout_s
             self._changed.notify_all()
         self._thread.join(timeout_s + RETRY_MAX_S)
         return len(self._backlog)
 
-    def add(self, work: ClaimWork, *, delay_s: float = LINGER_S) -> None:
-        """Queues a work; a record beyond the memory bound is dropped.
+    def add(self, write: ClaimWrite, *, delay_s: float = BATCH_LINGER_S) -> None:
+        """Queues a write; a record beyond the memory limit is dropped.
 
-        A dropped record leaves its claim pending, so a repeated request gets an
-        unknown outcome and is never run again.
+        A dropped record leaves its claim pending, so that a repeated request gets an
+        unknown outcome and never runs again.
+
+        :param delay_s: seconds after which the write is due.
         """
         with self._changed:
-            if self._backlog_bytes + work.size_bytes > BACKLOG_MAX_BYTES:
-                _log.warning("claim_record_dropped", claim=work.claim_row_key)
+            if self._backlog_bytes + write.size_bytes > BACKLOG_MAX_BYTES:
+                _log.warning("claim_record_dropped", claim=write.claim_row_key)
                 return
-            work.due_s = self._clock.monotonic_s() + delay_s
-            self._backlog.append(work)
-            self._backlog_bytes += work.size_bytes
+            write.due_s = self._clock.monotonic_s() + delay_s
+            self._backlog.append(write)
+            self._backlog_bytes += write.size_bytes
             self._changed.notify_all()
 
     def wait_until_idle(self, timeout_s: float) -> bool:
         """
-        :returns: whether all works except rechecks were done within the timeout.
+        :returns: whether all writes except rechecks were done within the timeout.
         """
         with self._changed:
             return self._changed.wait_for(self._is_idle, timeout_s)
 
     def _is_idle(self) -> bool:
-        waiting = any(not work.is_recheck for work in self._backlog)
-        return not waiting and self._in_progress_count == 0
+        is_write_waiting = any(not write.is_recheck for write in self._backlog)
+        return not is_write_waiting and self._in_progress_count == 0
 
     def _run(self) -> None:
         while True:
@@ -152,159 +156,161 @@
                 self._in_progress_count = 0
                 self._changed.notify_all()
 
-    def _next_batch(self) -> list[ClaimWork] | None:
+    def _next_batch(self) -> list[ClaimWrite] | None:
         with self._changed:
             while True:
                 now_s = self._clock.monotonic_s()
                 if self._is_finished(now_s):
                     return None
-                due = [work for work in self._backlog if work.due_s <= now_s]
+                due = [write for write in self._backlog if write.due_s <= now_s]
                 if due:
-                    return self._take(due)
-                self._changed.wait(self._idle_s(now_s))
+                    return self._take_batch(due)
+                self._changed.wait(self._wait_s(now_s))
 
     def _is_finished(self, now_s: float) -> bool:
-        if self._stop_s is None:
+        if self._stop_deadline_s is None:
             return False
-        self._backlog = [work for work in self._backlog if not work.is_recheck]
-        return not self._backlog or now_s >= self._stop_s
+        self._backlog = [write for write in self._backlog if not write.is_recheck]
+        return not self._backlog or now_s >= self._stop_deadline_s
 
-    def _idle_s(self, now_s: float) -> float | None:
-        times = [work.due_s for work in self._backlog]
-        if self._stop_s is not None:
-            times.append(self._stop_s)
+    def _wait_s(self, now_s: float) -> float | None:
+        times = [write.due_s for write in self._backlog]
+        if self._stop_deadline_s is not None:
+            times.append(self._stop_deadline_s)
         return max(0.0, min(times) - now_s) if times else None
 
-    def _take(self, due: list[ClaimWork]) -> list[ClaimWork]:
-        batch: list[ClaimWork] = []
-        taken_bytes = 0
-        for work in due:
-            taken_bytes += min(work.size_bytes, INLINE_BODY_MAX_BYTES)
-            if batch and taken_bytes > BATCH_MAX_BYTES:
+    def _take_batch(self, due: list[ClaimWrite]) -> list[ClaimWrite]:
+        batch: list[ClaimWrite] = []
+        batch_bytes = 0
+        for write in due:
+            batch_bytes += min(write.size_bytes, INLINE_BODY_MAX_BYTES)
+            if batch and batch_bytes > BATCH_MAX_BYTES:
                 break
-            batch.append(work)
+            batch.append(write)
             if len(batch) == BATCH_MAX_COUNT:
                 break
-        taken = set(map(id, batch))
-        self._backlog = [work for work in self._backlog if id(work) not in taken]
-        self._backlog_bytes -= sum(work.size_bytes for work in batch)
+        batch_ids = set(map(id, batch))
+        self._backlog = [write for write in self._backlog if id(write) not in batch_ids]
+        self._backlog_bytes -= sum(write.size_bytes for write in batch)
         self._in_progress_count = len(batch)
         return batch
 
-    def _process(self, batch: list[ClaimWork]) -> None:
-        ready: list[ClaimWork] = []
-        for work in batch:
+    def _process(self, batch: list[ClaimWrite]) -> None:
+        ready: list[ClaimWrite] = []
+        for write in batch:
             try:
-                if self._prepare(work):
-                    ready.append(work)
+                if self._prepare(write):
+                    ready.append(write)
             except PlatformError:
-                self._retry(work)
+                self._retry(write)
             except Exception:
-                _give_up([work])
+                _log_abandoned([write])
         if ready:
-            self._write(ready)
+            self._commit(ready)
 
-    def _prepare(self, work: ClaimWork) -> bool:
+    def _prepare(self, write: ClaimWrite) -> bool:
         """
-        :returns: whether the work still has a row to write.
-        :raises PlatformError: when the row or the body could not be handled now.
+        :returns: whether the write still applies to a row.
+        :raises PlatformError: when the row could not be read or the body not stored.
         """
-        if work.known is None and not self._look_up(work):
+        if write.last_written is None and not self._read_row(write):
             return False
-        if work.response is None or work.is_body_stored:
+        if write.response is None or write.is_body_stored:
             return True
-        if len(work.response.body) > INLINE_BODY_MAX_BYTES:
-            key = object_key(work.claim_row_key, work.token)
-            self._objects.put(key, work.response.body)
-        work.is_body_stored = True
+        if len(write.response.body) > INLINE_BODY_MAX_BYTES:
+            key = object_key(write.claim_row_key, write.token)
+            self._objects.put(key, write.response.body)
+        write.is_body_stored = True
         return True
 
-    def _look_up(self, work: ClaimWork) -> bool:
+    def _read_row(self, write: ClaimWrite) -> bool:
         row = self._tables.read(
-            CLAIMS_TABLE, work.claim_row_key, purpose=StorePurpose.CLAIMS
+            CLAIMS_TABLE, write.claim_row_key, purpose=StorePurpose.CLAIMS
         )
         if row is not None and row.value is not None:
             record = decode_claim(row.value)
-            if record["token"] == work.token:
-                work.known = ClaimVersion(record, row.version)
-                return work.response is None or record["response"] is None
-        self._recheck(work)
+            if record["token"] == write.token:
+                write.last_written = ClaimVersion(record, row.version)
+                return write.response is None or record["response"] is None
+        self._schedule_recheck(write)
         return False
 
-    def _write(self, works: list[ClaimWork]) -> None:
-        checks, puts = _changes(works)
+    def _commit(self, writes: list[ClaimWrite]) -> None:
+        checks, puts = _build_transaction(writes)
         try:
             self._tables.transact(checks, puts, purpose=StorePurpose.CLAIMS)
         except StoreConflictError:
-            self._after_conflict(works)
+            self._resolve_conflict(writes)
         except StoreOutcomeUnknownError:
-            for work in works:
-                work.known = None
-                self._retry(work)
+            for write in writes:
+                write.last_written = None
+                self._retry(write)
         except PlatformError:
-            for work in works:
-                self._retry(work)
+            for write in writes:
+                self._retry(write)
         except Exception:
-            _give_up(works)
+            _log_abandoned(writes)
         else:
-            for work in works:
-                self._recheck(work)
+            for write in writes:
+                self._schedule_recheck(write)
 
-    def _after_conflict(self, works: list[ClaimWork]) -> None:
-        if len(works) == 1:
-            works[0].known = None
-            self._retry(works[0])
+    def _resolve_conflict(self, writes: list[ClaimWrite]) -> None:
+        if len(writes) == 1:
+            writes[0].last_written = None
+            self._retry(writes[0])
             return
-        middle = len(works) // 2
-        self._write(works[:middle])
-        self._write(works[middle:])
-
-    def _retry(self, work: ClaimWork) -> None:
-        """Queues a work again, with exponential backoff and full jitter."""
-        ceiling_s = min(RETRY_MAX_S, RETRY_FIRST_S * 2**work.failures_count)
-        work.failures_count = min(work.failures_count + 1, 10)
-        self.add(work, delay_s=self._random.uniform(RETRY_FIRST_S / 2, ceiling_s))
-
-    def _recheck(self, work: ClaimWork) -> None:
-        if not work.rechecks:
+        middle = len(writes) // 2
+        self._commit(writes[:middle])
+        self._commit(writes[middle:])
+
+    def _retry(self, write: ClaimWrite) -> None:
+        """Queues a failed write again, with exponential backoff and full jitter."""
+        delay_max_s = min(RETRY_MAX_S, RETRY_FIRST_S * 2**write.failures_count)
+        write.failures_count = min(write.failures_count + 1, 10)
+        self.add(write, delay_s=self._random.uniform(RETRY_FIRST_S / 2, delay_max_s))
+
+    def _schedule_recheck(self, write: ClaimWrite) -> None:
+        if not write.recheck_delays_s:
             return
-        delay_s = work.rechecks[0]
-        work.rechecks = work.rechecks[1:]
-        work.known = None
-        work.failures_count = 0
-        work.is_recheck = True
-        self.add(work, delay_s=delay_s)
+        delay_s = write.recheck_delays_s[0]
+        write.recheck_delays_s = write.recheck_delays_s[1:]
+        write.last_written = None
+        write.failures_count = 0
+        write.is_recheck = True
+        self.add(write, delay_s=delay_s)
 
 
-def _give_up(works: Sequence[ClaimWork]) -> None:
+def _log_abandoned(writes: Sequence[ClaimWrite]) -> None:
     """Logs the error being handled, which must not end the writer's thread.
 
-    The claims stay pending: a repeated request gets an unknown outcome and is never
+    The claims stay pending, so that repeated requests get an unknown outcome and never
     run again.
     """
-    claims = [work.claim_row_key for work in works]
-    _log.exception("claim_work_given_up", claims=claims)
+    claims = [write.claim_row_key for write in writes]
+    _log.exception("claim_writes_abandoned", claims=claims)
 
 
-def _changes(works: Sequence[ClaimWork]) -> tuple[list[Check], list[Put]]:
+def _build_transaction(writes: Sequence[ClaimWrite]) -> tuple[list[Check], list[Put]]:
     checks: list[Check] = []
     puts: list[Put] = []
-    for work in works:
-        assert work.known is not None
-        record = work.known.record
-        checks.append(Check(CLAIMS_TABLE, work.claim_row_key, work.known.version))
-        if work.response is None:
-            puts.extend(claim_deletes(work.claim_row_key, record["day"]))
+    for write in writes:
+        assert write.last_written is not None
+        record = write.last_written.record
+        checks.append(
+            Check(CLAIMS_TABLE, write.claim_row_key, write.last_written.version)
+        )
+        if write.response is None:
+            puts.extend(claim_deletes(write.claim_row_key, record["day"]))
         else:
-            puts.extend(_record_puts(work, record))
+            puts.extend(_response_puts(write, record))
     return checks, puts
 
 
-def _record_puts(work: ClaimWork, record: ClaimRecord) -> tuple[Put, Put]:
-    assert work.response is not None
+def _response_puts(write: ClaimWrite, record: ClaimRecord) -> tuple[Put, Put]:
+    assert write.response is not None
     body_key = None
-    if len(work.response.body) > INLINE_BODY_MAX_BYTES:
-        body_key = object_key(work.claim_row_key, work.token)
-    stored = store_response(work.response, body_key)
+    if len(write.response.body) > INLINE_BODY_MAX_BYTES:
+        body_key = object_key(write.claim_row_key, write.token)
+    stored = store_response(write.response, body_key)
     updated: ClaimRecord = {**record, "response": stored}
-    return claim_puts(work.claim_row_key, updated)
+    return claim_puts(write.claim_row_key, updated)
--- a/src/sycamorecroft/daemon/registration.py
+++ b/src/sycamorecroft/daemon/registration.py
@@ -8,8 +8,8 @@
 import structlog
 
 from sycamorecroft.errors import NotLeaseHolderError, PlatformError
-from sycamorecroft.pools.records import ENTRIES_TABLE, decode_entry
-from sycamorecroft.pools.registration import EntryRegistration
+from sycamorecroft.pools.records import ENTRIES_TABLE, decode_entry_host
+from sycamorecroft.pools.registration import EntryHostRegistration
 from sycamorecroft.pools.state import HostState, PoolView
 from sycamorecroft.store.interfaces import StorePurpose, TableService
 
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        registration: EntryRegistration,
+        registration: EntryHostRegistration,
         *,
         grants: Callable[[], GrantReport],
         view: Callable[[], PoolView],
@@ -87,7 +87,7 @@
     except PlatformError as error:
         _log.info("registrations_unavailable", error=str(error))
         return None
-    records = (decode_entry(row.value or b"") for row in scan.rows)
+    records = (decode_entry_host(row.value or b"") for row in scan.rows)
     return frozenset(
         record["entry"]
         for record in records
--- a/src/sycamorecroft/daemon/runtime.py
+++ b/src/sycamorecroft/daemon/runtime.py
@@ -57,7 +57,7 @@
     MembershipState,
     MembershipView,
 )
-from sycamorecroft.pools.registration import EntryRegistration
+from sycamorecroft.pools.registration import EntryHostRegistration
 from sycamorecroft.pools.state import PoolView
 from sycamorecroft.pools.view import PoolViewReader
 from sycamorecroft.pools.view_actor import PeerViewVersions, PollView, ViewActor
@@ -152,7 +152,7 @@
         digest = MemberDigest(
             settings.entry, self._incarnation, 0, 0, 0, 0, _NO_CONTACT_AGE_MS, False
         )
-        self._registration = EntryRegistration(
+        self._registration = EntryHostRegistration(
             self._platform.tables,
             self._clock,
             entry=settings.entry,
--- a/src/sycamorecroft/leases/__init__.py
+++ b/src/sycamorecroft/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Controller leases and transactions whose outcome is resolved by reading back."""
+"""Controller leases, and transactions that resolve unknown outcomes by reading back."""
 
 from sycamorecroft.leases.lease import ControllerLease, LeaseRecord
 from sycamorecroft.leases.transactions import transact_resolved
--- a/src/sycamorecroft/leases/lease.py
+++ b/src/sycamorecroft/leases/lease.py
@@ -1,4 +1,4 @@
-"""Leases of controllers in table ``leases``."""
+"""Leases that give one daemon at a time a controller's work, in table ``leases``."""
 
 from datetime import timedelta
 from typing import NamedTuple, TypedDict
@@ -22,9 +22,9 @@
 
 
 class LeaseRecord(TypedDict):
-    """Value of a row of table ``leases``. An empty ``holder`` means released.
+    """Value of a row of table ``leases``; an empty ``holder`` means released.
 
-    ``expires_at`` informs people; no decision depends on it.
+    ``expires_at`` is informative only; no decision depends on it.
     """
 
     name: str
@@ -33,29 +33,30 @@
     expires_at: str
 
 
-class _Hold(NamedTuple):
+class _HeldLease(NamedTuple):
     epoch: int
     version: int
     renewed_s: float
 
 
-class _Sighting(NamedTuple):
+class _Observation(NamedTuple):
     version: int
     first_seen_s: float
 
 
 class ControllerLease:
-    """Lease on a controller's work, with an epoch that rises with each new holder.
+    """Lease on a controller's work, with an epoch that rises with each acquisition.
 
-    A lease has lapsed when its row hasn't changed for the term by the observer's
-    monotonic clock, so clocks of different hosts are never compared. A holder that
-    was paused past its term loses by comparison: each of its transactions contains
-    :meth:`check`, which fails once another holder has written the row.
+    A lease has expired when its row hasn't changed for the term by the observer's
+    monotonic clock, so clocks of different entry hosts are never compared. A holder
+    that was paused past its term can't write: each of its transactions contains
+    :meth:`check`, which fails once another holder has written the lease row.
 
     :param name: row key, such as ``pools`` or ``jobs/rating``.
-    :param holder: unique for each start of a process (name and incarnation).
+    :param holder: name and incarnation of the process; unique for each start.
     :param term_s: seconds without renewal after which another holder may acquire.
-    :param renew_after_s: seconds after which :meth:`maintain` renews.
+    :param renew_after_s: seconds since the last renewal after which :meth:`maintain`
+        renews.
     """
 
     def __init__(
@@ -74,125 +75,131 @@
         self._holder = holder
         self._term_s = term_s
         self._renew_after_s = renew_after_s
-        self._hold: _Hold | None = None
-        self._sighting: _Sighting | None = None
+        self._held_lease: _HeldLease | None = None
+        self._observation: _Observation | None = None
 
     @property
     def name(self) -> str:
-        """Name of the lease."""
+        """Row key of the lease."""
         return self._name
 
     @property
     def is_held(self) -> bool:
-        """Whether the lease is held and the term has not passed on this host."""
-        if self._hold is None:
+        """Whether the lease is held and its term hasn't passed by the local clock."""
+        if self._held_lease is None:
             return False
-        age_s = self._clock.monotonic_s() - self._hold.renewed_s
+        age_s = self._clock.monotonic_s() - self._held_lease.renewed_s
         return age_s < self._term_s
 
     @property
     def epoch(self) -> int:
         """
+        :returns: the epoch in which the lease is held.
         :raises NotLeaseHolderError: when the lease is not held.
         """
-        return self._require_hold().epoch
+        return self._require_held().epoch
 
     def check(self) -> Check:
         """
         :returns: the condition that each transaction of the holder must contain.
         :raises NotLeaseHolderError: when the lease is not held.
         """
-        return Check(LEASES_TABLE, self._name, self._require_hold().version)
+        return Check(LEASES_TABLE, self._name, self._require_held().version)
 
     def maintain(self) -> bool:
-        """Acquires the lease, or renews it when it is due.
+        """Acquires the lease if it isn't held, or renews it if that is due.
 
         :returns: whether the lease is held afterwards.
-        :raises PlatformError: when the store gave no answer.
+        :raises PlatformError: when the store did not answer.
         """
-        if self._hold is None:
+        if self._held_lease is None:
             return self.acquire()
-        age_s = self._clock.monotonic_s() - self._hold.renewed_s
+        age_s = self._clock.monotonic_s() - self._held_lease.renewed_s
         return True if age_s < self._renew_after_s else self.renew()
 
     def acquire(self) -> bool:
-        """
+        """Acquires the lease if it is released, expired or already this holder's.
+
         :returns: whether the lease is held afterwards.
-        :raises PlatformError: when the store gave no answer.
+        :raises PlatformError: when the store did not answer.
         """
         row = self._read()
         if row is None:
             return self._write(None, epoch=1)
         record = decode_lease(row.value or b"{}")
-        if record["holder"] and not self._may_take(row, record):
+        if record["holder"] and not self._may_acquire(row, record):
             return False
         return self._write(row.version, epoch=record["epoch"] + 1)
 
     def renew(self) -> bool:
-        """
+        """Renews the lease for another term.
+
         :returns: whether the lease is still held.
-        :raises PlatformError: when the store gave no answer.
+        :raises PlatformError: when the store did not answer.
         """
-        if self._hold is None:
+        if self._held_lease is None:
             return False
-        if self._write(self._hold.version, epoch=self._hold.epoch):
+        if self._write(self._held_lease.version, epoch=self._held_lease.epoch):
             return True
         return self.confirm()
 
     def confirm(self) -> bool:
-        """Reads the row after a conflict, which may be due to a late renewal.
+        """Reads the row back after a conflict, which may stem from an own late renewal.
 
         :returns: whether the lease is still held.
-        :raises PlatformError: when the store gave no answer.
+        :raises PlatformError: when the store did not answer.
         """
-        if self._hold is None:
+        if self._held_lease is None:
             return False
         row = self._read()
         if row is None or row.value is None:
-            self._hold = None
+            self._held_lease = None
             return False
         record = decode_lease(row.value)
-        if (record["holder"], record["epoch"]) != (self._holder, self._hold.epoch):
-            self._hold = None
+        if (record["holder"], record["epoch"]) != (
+            self._holder,
+            self._held_lease.epoch,
+        ):
+            self._held_lease = None
             return False
-        self._hold = self._hold._replace(version=row.version)
+        self._held_lease = self._held_lease._replace(version=row.version)
         return True
 
     def release(self) -> None:
-        """Gives the lease up, so that another holder needs not wait for the term.
+        """Releases the lease, so that another holder can acquire it at once.
 
-        :raises PlatformError: when the store gave no answer.
+        :raises PlatformError: when the store did not answer.
         """
-        hold = self._hold
-        self._hold = None
-        if hold is None:
+        held_lease = self._held_lease
+        self._held_lease = None
+        if held_lease is None:
             return
-        put = Put(LEASES_TABLE, self._name, self._encode("", hold.epoch))
-        check = Check(LEASES_TABLE, self._name, hold.version)
+        put = Put(LEASES_TABLE, self._name, self._encode("", held_lease.epoch))
+        check = Check(LEASES_TABLE, self._name, held_lease.version)
         try:
             transact_resolved(self._table, [check], [put], purpose=StorePurpose.LEASES)
         except StoreConflictError:
             return
 
-    def _require_hold(self) -> _Hold:
-        if self._hold is None or not self.is_held:
+    def _require_held(self) -> _HeldLease:
+        if self._held_lease is None or not self.is_held:
             message = (
                 f"lease {self._name!r} is not held by {self._holder!r}; "
                 "acquire it before the operation"
             )
             raise NotLeaseHolderError(message)
-        return self._hold
+        return self._held_lease
 
     def _read(self) -> Row | None:
         return self._table.read(LEASES_TABLE, self._name, purpose=StorePurpose.LEASES)
 
-    def _may_take(self, row: Row, record: LeaseRecord) -> bool:
+    def _may_acquire(self, row: Row, record: LeaseRecord) -> bool:
         if record["holder"] == self._holder:
             return True
         now_s = self._clock.monotonic_s()
-        if self._sighting is None or self._sighting.version != row.version:
-            self._sighting = _Sighting(row.version, now_s)
-        return now_s - self._sighting.first_seen_s >= self._term_s
+        if self._observation is None or self._observation.version != row.version:
+            self._observation = _Observation(row.version, now_s)
+        return now_s - self._observation.first_seen_s >= self._term_s
 
     def _write(self, version: int | None, *, epoch: int) -> bool:
         sent_s = self._clock.monotonic_s()
@@ -204,7 +211,7 @@
             )
         except StoreConflictError:
             return False
-        self._hold = _Hold(epoch, written_version, sent_s)
+        self._held_lease = _HeldLease(epoch, written_version, sent_s)
         return True
 
     def _encode(self, holder: str, epoch: int) -> bytes:
@@ -220,7 +227,7 @@
 
 def decode_lease(value: bytes) -> LeaseRecord:
     """
-    :returns: the record; unknown fields are ignored.
+    :returns: the record, without unknown fields.
     :raises msgspec.ValidationError: when a known field is missing or malformed.
     """
     return msgspec.json.decode(value, type=LeaseRecord)
--- a/src/sycamorecroft/leases/tests/test_lease.py
+++ b/src/sycamorecroft/leases/tests/test_lease.py
@@ -1,4 +1,6 @@
-"""Controller leases: one holder acts at a time, whatever is paused or lost."""
+"""Tests that one holder of a controller lease acts at a time, despite pauses and lost
+responses.
+"""
 
 import pytest
 
@@ -18,7 +20,7 @@
 
 
 def test_second_holder_waits_for_the_term(fleet: MemoryFleet) -> None:
-    """Guards against two controllers that act at once."""
+    """Guards against two controllers that act at the same time."""
     first, second = fleet.lease("work", "a"), fleet.lease("work", "b")
     assert first.maintain()
     assert not second.maintain()
@@ -28,8 +30,8 @@
         assert not second.maintain()
 
 
-def test_lapsed_lease_is_taken_with_a_higher_epoch(fleet: MemoryFleet) -> None:
-    """Guards against work that stops for good when its holder is killed."""
+def test_expired_lease_is_acquired_with_a_higher_epoch(fleet: MemoryFleet) -> None:
+    """Guards against a controller's work that stops forever when its holder dies."""
     first, second = fleet.lease("work", "a"), fleet.lease("work", "b")
     first.maintain()
     second.maintain()
@@ -38,8 +40,8 @@
     assert second.epoch == 2
 
 
-def test_paused_holder_loses_by_comparison(fleet: MemoryFleet) -> None:
-    """Guards against a write of a holder that was paused after its own check."""
+def test_write_of_a_paused_former_holder_fails(fleet: MemoryFleet) -> None:
+    """Guards against a write by a holder that was paused after checking its lease."""
     first, second = fleet.lease("work", "a"), fleet.lease("work", "b")
     first.maintain()
     check = first.check()
@@ -54,8 +56,8 @@
         first.check()
 
 
-def test_holder_stops_by_itself_after_the_term(fleet: MemoryFleet) -> None:
-    """Guards against needless writes of a holder that could not renew."""
+def test_lease_is_not_held_locally_after_its_term(fleet: MemoryFleet) -> None:
+    """Guards against useless writes by a holder that could not renew."""
     lease = fleet.lease("work", "a")
     lease.maintain()
     fleet.clock.advance(10.0)
@@ -64,7 +66,7 @@
 
 
 def test_lost_responses_are_resolved(fleet: MemoryFleet) -> None:
-    """Guards against a holder that locks itself out by a lost response."""
+    """Guards against a lost response that locks the holder out of its own lease."""
     lease = fleet.lease("work", "a")
     fleet.tables.faults.lose_responses(count=1)
     assert lease.maintain()
@@ -76,7 +78,7 @@
 
 
 def test_renewal_that_arrives_late_keeps_the_lease(fleet: MemoryFleet) -> None:
-    """Guards against a holder that takes its own late renewal for another holder."""
+    """Guards against a holder that mistakes its own late renewal for another's."""
     lease = fleet.lease("work", "a")
     lease.maintain()
     fleet.clock.advance(4.0)
@@ -88,8 +90,8 @@
     assert lease.epoch == 1
 
 
-def test_released_lease_is_taken_at_once(fleet: MemoryFleet) -> None:
-    """Guards against a wait of the whole term on each planned stop."""
+def test_released_lease_is_acquired_at_once(fleet: MemoryFleet) -> None:
+    """Guards against a wait for the whole term after each planned stop."""
     first, second = fleet.lease("work", "a"), fleet.lease("work", "b")
     first.maintain()
     first.release()
--- a/src/sycamorecroft/leases/transactions.py
+++ b/src/sycamorecroft/leases/transactions.py
@@ -1,4 +1,4 @@
-"""Conditional transactions of controllers that survive a lost response."""
+"""Conditional transactions of controllers, with resolution of lost responses."""
 
 import random
 import uuid
@@ -18,39 +18,43 @@
     *,
     purpose: StorePurpose,
 ) -> int:
-    """Commits a transaction; an unknown outcome is resolved by reading back.
+    """Commits a transaction and resolves an unknown outcome by reading back.
 
-    The first put is the witness: a field ``token`` is added to its JSON object, and
-    ``checks`` must name its row. Attempts follow each other without a wait, because
-    a controller repeats its step anyway and must not delay its actor.
+    The first put writes the token row: a unique ``token`` is added to its JSON object,
+    and ``checks`` must name its row. Attempts follow each other without a delay,
+    because a controller repeats its step anyway and must not block its actor.
 
-    :param puts: rows to write, the witness first; it must not be a deletion.
+    :param puts: rows to write, the token row first; it must not be a deletion.
     :returns: the commit number.
     :raises StoreConflictError: when another writer changed a checked row.
-    :raises StoreUnavailableError: when it is known that nothing was written.
-    :raises StoreOutcomeUnknownError: when the outcome couldn't be learned.
+    :raises StoreUnavailableError: when it is certain that nothing was written.
+    :raises StoreOutcomeUnknownError: when the outcome couldn't be determined.
+    :raises ValueError: when the first put is a deletion.
     """
     token = uuid.uuid4().hex
-    witness = _with_token(puts[0], token)
+    token_put = _with_token(puts[0], token)
     return transact_with_token(
         table,
         checks,
-        [witness, *puts[1:]],
-        TokenRow(witness.table, witness.key, token),
+        [token_put, *puts[1:]],
+        TokenRow(token_put.table, token_put.key, token),
         purpose=purpose,
         backoff=Backoff(0.0, 0.0, random.Random()),
-        sleep=_continue_at_once,
+        sleep=_skip_delay,
     )
 
 
 def _with_token(put: Put, token: str) -> Put:
     if put.value is None:
-        message = f"witness row {put.table}/{put.key} must not be a deletion"
+        message = (
+            f"token row {put.table}/{put.key} must not be a deletion; "
+            "put a row with a value first"
+        )
         raise ValueError(message)
     content = msgspec.json.decode(put.value)
     content["token"] = token
     return put._replace(value=msgspec.json.encode(content))
 
 
-def _continue_at_once(delay_s: float) -> None:
+def _skip_delay(delay_s: float) -> None:
     del delay_s
--- a/src/sycamorecroft/maintenance/controller.py
+++ b/src/sycamorecroft/maintenance/controller.py
@@ -32,7 +32,7 @@
     wave_key,
 )
 from sycamorecroft.maintenance.situation import Situation, SituationReader
-from sycamorecroft.pools.host_rows import SideWrite
+from sycamorecroft.pools.host_rows import ExtraWrite
 from sycamorecroft.pools.registry import PoolRegistry
 from sycamorecroft.pools.state import HostState
 from sycamorecroft.store.interfaces import (
@@ -154,7 +154,7 @@
             # A pause or cancellation that was committed first prevents the drain.
             check = Check(MAINTENANCE_TABLE, wave_key(wave_id), wave.version)
             try:
-                self._registry.begin_drain(host, wave_id, SideWrite(checks=(check,)))
+                self._registry.start_drain(host, wave_id, ExtraWrite(checks=(check,)))
             except (BudgetExceededError, PoolOperationError, StoreConflictError):
                 continue
             started.append(host)
@@ -198,7 +198,7 @@
         self._situation = situation
         self._now = now
 
-    def write(self, host: str, maintenance_id: str, outcome: HostOutcome) -> SideWrite:
+    def write(self, host: str, maintenance_id: str, outcome: HostOutcome) -> ExtraWrite:
         """
         :returns: the progress rows that end the waves for the host.
         """
@@ -207,7 +207,7 @@
             for wave in self._situation.waves.values()
             if self._is_served(wave, host, maintenance_id)
         )
-        return SideWrite(puts=puts)
+        return ExtraWrite(puts=puts)
 
     def _is_served(self, wave: WaveRow, host: str, maintenance_id: str) -> bool:
         record = wave.record
--- a/src/sycamorecroft/maintenance/host_sequence.py
+++ b/src/sycamorecroft/maintenance/host_sequence.py
@@ -7,7 +7,7 @@
 from sycamorecroft.errors import PlatformError
 from sycamorecroft.maintenance.records import HostOutcome
 from sycamorecroft.pools.clearance import Acknowledgements
-from sycamorecroft.pools.host_rows import SideWrite
+from sycamorecroft.pools.host_rows import ExtraWrite
 from sycamorecroft.pools.records import HostRow
 from sycamorecroft.pools.registry import PoolRegistry
 from sycamorecroft.pools.state import HostState
@@ -18,7 +18,7 @@
 # A host that is not up again after this time is taken out of its pool.
 REBOOT_LIMIT_S = 1800.0
 
-EndWrite: TypeAlias = Callable[[str, str, HostOutcome], SideWrite]
+EndWrite: TypeAlias = Callable[[str, str, HostOutcome], ExtraWrite]
 
 
 class _Reboot(NamedTuple):
@@ -111,7 +111,7 @@
             self._registry.return_to_service(host, side)
         elif now_s - reboot.first_seen_s >= REBOOT_LIMIT_S:
             side = end_write(host, maintenance_id, HostOutcome.TAKEN_OUT)
-            self._registry.take_out(host, side)
+            self._registry.take_out_of_service(host, side)
         else:
             return False
         del self._reboots[host]
--- a/src/sycamorecroft/maintenance/situation.py
+++ b/src/sycamorecroft/maintenance/situation.py
@@ -26,7 +26,7 @@
     BudgetRecord,
     HostRow,
     budget_row,
-    decode_entry,
+    decode_entry_host,
     find_host_row,
 )
 from sycamorecroft.store.interfaces import (
@@ -123,7 +123,7 @@
     def _acknowledgements(
         self, rows: tuple[Row, ...], listing: HostListing | None
     ) -> Acknowledgements:
-        entries = tuple(decode_entry(row.value or b"") for row in rows)
+        entries = tuple(decode_entry_host(row.value or b"") for row in rows)
         now = self._clock.now()
         if listing is None:
             return Acknowledgements(entries, None, None, now)
--- a/src/sycamorecroft/pools/clearance.py
+++ b/src/sycamorecroft/pools/clearance.py
@@ -1,18 +1,21 @@
-"""Rule that decides when no entry host can send requests to a draining host."""
+"""Clearance of draining hosts.
+
+A draining host is clear once no entry host can send it requests any more.
+"""
 
 from collections.abc import Sequence
 from datetime import datetime
 from enum import StrEnum
 from typing import NamedTuple
 
-from sycamorecroft.pools.state import EntryRecord
+from sycamorecroft.pools.state import EntryHostRecord
 
-# A new queue owner receives the grants that requesters hold within this time.
+# Requesters report the grants they hold to a new queue owner within this time.
 HELD_GRANTS_WAIT_S = 5.0
 
 
 class BlockReason(StrEnum):
-    """Why a draining host isn't clear yet."""
+    """Reason why a draining host isn't clear yet."""
 
     VIEW_TOO_OLD = "view_too_old"
     GRANT_HELD = "grant_held"
@@ -20,7 +23,11 @@
 
 
 class Blocker(NamedTuple):
-    """What keeps a host from being clear; ``entry`` is empty for the wait."""
+    """Obstacle to a host's clearance.
+
+    ``entry`` names the entry host that blocks; it is empty for the wait after the
+    drain, which no entry host causes.
+    """
 
     entry: str
     reason: BlockReason
@@ -28,28 +35,31 @@
 
 
 class Acknowledgements(NamedTuple):
-    """Registrations of entry hosts beside the platform's list.
+    """Registrations of entry hosts and the platform's list of entry hosts.
 
-    ``listed_entries`` is ``None`` when the list couldn't be had; then no entry host
-    counts as gone.
+    ``listed_entry_hosts`` and ``listed_as_of`` are ``None`` when the list was
+    unavailable; no entry host then counts as removed.
     """
 
-    entries: tuple[EntryRecord, ...]
-    listed_entries: frozenset[str] | None
+    registrations: tuple[EntryHostRecord, ...]
+    listed_entry_hosts: frozenset[str] | None
     listed_as_of: datetime | None
     now: datetime
 
 
 class DrainingHost(NamedTuple):
-    """A draining host: its row version and for how long the controller saw it."""
+    """A draining host.
+
+    ``observed_for_s`` is the time since the controller first read ``row_version``.
+    """
 
     host: str
     row_version: int
-    seen_for_s: float
+    observed_for_s: float
 
 
 class Clearance(NamedTuple):
-    """Result of the rule; clear when nothing blocks."""
+    """Obstacles that remain; the host is clear when there are none."""
 
     blockers: tuple[Blocker, ...]
 
@@ -62,52 +72,61 @@
 def evaluate_clearance(
     draining: DrainingHost, acknowledgements: Acknowledgements
 ) -> Clearance:
-    """Applies the rule of section 5.2 of docs/design.md to one host.
+    """Applies the clearance rule of section 5.2 of docs/design.md to one host.
 
-    :returns: the entry hosts that block, each with its reason.
+    :returns: the obstacles: entry hosts that block, and the wait after the drain.
     """
-    blockers = list(_entry_blockers(draining, acknowledgements))
-    if draining.seen_for_s < HELD_GRANTS_WAIT_S:
-        detail = f"seen for {draining.seen_for_s:.1f} s of {HELD_GRANTS_WAIT_S:.1f} s"
+    blockers = list(_entry_host_blockers(draining, acknowledgements))
+    if draining.observed_for_s < HELD_GRANTS_WAIT_S:
+        detail = (
+            f"observed for {draining.observed_for_s:.1f} s "
+            f"of {HELD_GRANTS_WAIT_S:.1f} s"
+        )
         blockers.append(Blocker("", BlockReason.WAIT_AFTER_DRAIN, detail))
     return Clearance(tuple(blockers))
 
 
-def _entry_blockers(
+def _entry_host_blockers(
     draining: DrainingHost, acknowledgements: Acknowledgements
 ) -> Sequence[Blocker]:
     return [
         blocker
-        for entry in acknowledgements.entries
-        if not is_gone(entry, acknowledgements)
-        for blocker in [_entry_blocker(draining, entry)]
+        for registration in acknowledgements.registrations
+        if not is_removed(registration, acknowledgements)
+        for blocker in [_entry_host_blocker(draining, registration)]
         if blocker is not None
     ]
 
 
-def _entry_blocker(draining: DrainingHost, entry: EntryRecord) -> Blocker | None:
-    if entry["view_version"] < draining.row_version:
+def _entry_host_blocker(
+    draining: DrainingHost, registration: EntryHostRecord
+) -> Blocker | None:
+    if registration["view_version"] < draining.row_version:
         detail = (
-            f"acknowledged view {entry['view_version']}, needs {draining.row_version}"
+            f"acknowledged view {registration['view_version']}, "
+            f"needs {draining.row_version}"
         )
-        return Blocker(entry["entry"], BlockReason.VIEW_TOO_OLD, detail)
-    if draining.host in entry["granted_hosts"]:
+        return Blocker(registration["entry"], BlockReason.VIEW_TOO_OLD, detail)
+    if draining.host in registration["granted_hosts"]:
         detail = f"reports a grant on {draining.host}"
-        return Blocker(entry["entry"], BlockReason.GRANT_HELD, detail)
+        return Blocker(registration["entry"], BlockReason.GRANT_HELD, detail)
     return None
 
 
-def is_gone(entry: EntryRecord, acknowledgements: Acknowledgements) -> bool:
+def is_removed(
+    registration: EntryHostRecord, acknowledgements: Acknowledgements
+) -> bool:
     """
-    :returns: whether the registration expired and a list that is newer than its
-        expiry doesn't name the host. An older list may predate the host.
+    :returns: whether the entry host was removed from the fleet: its registration has
+        expired, and a platform list that is newer than the expiry doesn't name it. An
+        older list may predate the entry host.
     """
-    listed = acknowledgements.listed_entries
+    listed = acknowledgements.listed_entry_hosts
     if listed is None or acknowledgements.listed_as_of is None:
         return False
-    expires_at = datetime.fromisoformat(entry["expires_at"])
+    expires_at = datetime.fromisoformat(registration["expires_at"])
     return (
-        entry["entry"] not in listed
+        registration["entry"] not in listed
         and expires_at < acknowledgements.now
         and expires_at < acknowledgements.listed_as_of
     )
--- a/src/sycamorecroft/pools/controller.py
+++ b/src/sycamorecroft/pools/controller.py
@@ -1,4 +1,4 @@
-"""Controller that moves hosts between pools as their needs change."""
+"""Controller that registers hosts, removes failed ones and moves them between pools."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -22,7 +22,7 @@
 from sycamorecroft.pools.inventory import InventoryStore
 from sycamorecroft.pools.mirror import TableMirror
 from sycamorecroft.pools.move_requests import MoveRequestStore
-from sycamorecroft.pools.planning import Move, MoveRequest, plan_moves, supply_counts
+from sycamorecroft.pools.planning import Move, MovePlanInput, plan_moves, supply_counts
 from sycamorecroft.pools.records import (
     HOSTS_TABLE,
     POOLS_TABLE,
@@ -45,22 +45,23 @@
 _log = structlog.get_logger()
 
 LEASE_NAME = "pools"
-# A host that the platform's list, which lags, doesn't name for this time has failed.
+# A host that is absent from the platform's list for this time has failed. A shorter
+# absence may be due to the lag of the list.
 ABSENCE_LIMIT_S = 60.0
-# A list that lacks more than this share of the hosts is taken for wrong: the loss of a
-# data centre is smaller, and routing avoids failed workers by itself.
+# A list that lacks more than this share of the hosts is treated as wrong: the loss of a
+# data centre is smaller, and routing avoids failed workers without the controller.
 MASS_ABSENCE_RATIO = 0.5
-# A host that was taken out and stays absent for this time is forgotten.
+# A failed host that stays absent from the list for this time is deregistered.
 REMOVAL_LIMIT_S = 600.0
-# A failed host that the list names as live for this time is back; the list lags, so it
-# may still name a host that has just failed.
+# A failed host that the list names as live for this time has recovered. A shorter
+# presence proves nothing, as the list lags and may still name a host that just failed.
 RETURN_AFTER_S = 30.0
-# Keep one step within the store budget of pools and maintenance, 20 writes/s.
+# Keeps one step within the store budget of pools and maintenance, 20 writes/s.
 CHANGES_PER_STEP_COUNT = 8
 
 
 class PoolStepReport(NamedTuple):
-    """What one step did. ``problem`` is empty when the step went through."""
+    """Result of one step; ``problem`` is the error that ended it early, else empty."""
 
     is_holder: bool
     registered_hosts: tuple[str, ...]
@@ -71,12 +72,12 @@
 
 
 class PoolController:
-    """Registers hosts, takes failed ones out and carries out planned moves.
+    """Registers hosts, takes failed ones out of service and carries out moves.
 
-    A new host goes to the pool that the inventory declares for it, else to the one
-    that lacks most of its configured hosts, else to the spare pool. Moves that
-    operators ask for go before those that demand asks for. All state but the demand is
-    in the tables. Not thread-safe; one ticker calls it about once a second.
+    A new host is assigned to the pool that the inventory declares for it, else to the
+    pool with the largest shortage of configured hosts, else to the spare pool. Moves
+    requested by operators take precedence over moves planned from demand. All state
+    except the demand is in the tables. Not thread-safe; called about once a second.
 
     :param lease: lease ``pools``; :meth:`step` acquires and renews it.
     """
@@ -103,15 +104,16 @@
         self._pools: Mapping[str, PoolConfiguration] = {}
         self._trackers: dict[str, DemandTracker] = {}
         self._absent_since_s: dict[str, float] = {}
-        self._back_since_s: dict[str, float] = {}
+        self._relisted_since_s: dict[str, float] = {}
 
     def configure(self, pools: Mapping[str, PoolConfiguration]) -> None:
-        """Sets the pools of the configuration in force."""
+        """Sets the pools of the configuration in force, by name."""
         self._pools = dict(pools)
 
     def observe_demand(self, demand_hosts: Mapping[str, float]) -> None:
-        """
-        :param demand_hosts: demand of each pool in hosts at full use.
+        """Records a sample of the demand.
+
+        :param demand_hosts: demand of each pool, in fully utilized hosts.
         """
         now_s = self._clock.monotonic_s()
         for pool, demand in demand_hosts.items():
@@ -120,7 +122,8 @@
 
     def needs(self) -> Mapping[str, PoolNeed]:
         """
-        :returns: the need of each pool whose demand is known, by the last step's rows.
+        :returns: the need of each pool whose demand is known, with the supply of hosts
+            as of the last step.
         """
         now_s = self._clock.monotonic_s()
         records = [row.record for row in self._hosts.values.values()]
@@ -131,7 +134,14 @@
         }
 
     def step(self) -> PoolStepReport:
-        """Completes moves, registers and takes out hosts, and begins moves."""
+        """Runs one reconciliation step, if the lease is held.
+
+        Completes moves, registers new hosts, takes failed hosts out of service,
+        returns recovered ones, deregisters lost ones and starts moves.
+
+        :returns: what was done; store errors and a lost lease are reported in
+            ``problem`` and not raised.
+        """
         report = PoolStepReport(False, (), (), (), (), "")
         try:
             if not self._lease.maintain():
@@ -150,13 +160,13 @@
         moved = self._complete_moves(hosts)
         listing = self._list_workers()
         registered = self._register(hosts, listing)
-        self._note_absences(hosts, listing)
-        taken_out = self._take_out(hosts)
-        self._return(hosts, listing)
-        self._remove(hosts)
-        moving = self._begin_requested_moves(hosts)
+        self._record_absences(hosts, listing)
+        taken_out = self._take_out_failed(hosts)
+        self._return_recovered(hosts, listing)
+        self._remove_lost(hosts)
+        moving = self._start_requested_moves(hosts)
         if listing is not None:
-            moving += self._begin_moves(hosts)
+            moving += self._start_planned_moves(hosts)
         return PoolStepReport(True, registered, taken_out, moving, moved, "")
 
     def _ensure_pools(self) -> None:
@@ -214,12 +224,12 @@
         for host in new[:CHANGES_PER_STEP_COUNT]:
             pool = declared.get(host.name, "")
             if pool not in self._pools:
-                pool = self._pool_of_new_host(sizes)
+                pool = self._default_pool(sizes)
             self._registry.register_host(_new_host(host, pool))
             sizes[pool] += 1
         return tuple(host.name for host in new[:CHANGES_PER_STEP_COUNT])
 
-    def _pool_of_new_host(self, sizes: Mapping[str, int]) -> str:
+    def _default_pool(self, sizes: Mapping[str, int]) -> str:
         pools = sorted(self._pools.values(), key=lambda pool: pool.name)
         lacking = [pool for pool in pools if sizes.get(pool.name, 0) < pool.hosts_count]
         if lacking:
@@ -229,7 +239,7 @@
         spare = [pool for pool in pools if pool.is_spare]
         return (spare or pools)[0].name
 
-    def _note_absences(
+    def _record_absences(
         self, hosts: Mapping[str, HostRow], listing: HostListing | None
     ) -> None:
         if listing is None:
@@ -242,7 +252,7 @@
             if name not in listed and _should_be_listed(row)
         }
 
-    def _take_out(self, hosts: Mapping[str, HostRow]) -> tuple[str, ...]:
+    def _take_out_failed(self, hosts: Mapping[str, HostRow]) -> tuple[str, ...]:
         failed = [
             name
             for name in self._absent_for(ABSENCE_LIMIT_S)
@@ -252,39 +262,39 @@
             _log.error("host_list_implausible", absent_count=len(failed))
             return ()
         for name in failed[:CHANGES_PER_STEP_COUNT]:
-            self._registry.take_out(name)
+            self._registry.take_out_of_service(name)
         return tuple(failed[:CHANGES_PER_STEP_COUNT])
 
-    def _return(
+    def _return_recovered(
         self, hosts: Mapping[str, HostRow], listing: HostListing | None
     ) -> None:
-        """Returns hosts that failed and that the platform lists as live again."""
+        """Returns failed hosts to service that the platform lists as live again."""
         if listing is None:
             return
         now_s = self._clock.monotonic_s()
         live = {host.name for host in listing.hosts if host.status is HostStatus.LIVE}
-        self._back_since_s = {
-            name: self._back_since_s.get(name, now_s)
+        self._relisted_since_s = {
+            name: self._relisted_since_s.get(name, now_s)
             for name, row in hosts.items()
             if name in live and row.record["state"] == HostState.OUT
         }
-        back = [
+        recovered = [
             name
-            for name, since_s in self._back_since_s.items()
+            for name, since_s in self._relisted_since_s.items()
             if now_s - since_s >= RETURN_AFTER_S
         ]
-        for name in back[:CHANGES_PER_STEP_COUNT]:
+        for name in recovered[:CHANGES_PER_STEP_COUNT]:
             with suppress(PoolOperationError, StoreConflictError):
                 self._registry.return_to_service(name)
 
-    def _remove(self, hosts: Mapping[str, HostRow]) -> None:
-        gone = [
+    def _remove_lost(self, hosts: Mapping[str, HostRow]) -> None:
+        lost = [
             name
             for name in self._absent_for(REMOVAL_LIMIT_S)
             if hosts[name].record["state"] == HostState.OUT
         ]
-        for name in gone[:CHANGES_PER_STEP_COUNT]:
-            # Removed by a later step when an entry host or the budget prevents it.
+        for name in lost[:CHANGES_PER_STEP_COUNT]:
+            # A later step retries when an entry host or the budget blocks the removal.
             with suppress(PoolOperationError, StoreConflictError):
                 self._registry.remove_host(name)
 
@@ -296,41 +306,41 @@
             if now_s - since_s >= duration_s
         ]
 
-    def _begin_requested_moves(self, hosts: Mapping[str, HostRow]) -> tuple[str, ...]:
-        begun: list[Move] = []
+    def _start_requested_moves(self, hosts: Mapping[str, HostRow]) -> tuple[str, ...]:
+        moves: list[Move] = []
         for host, target_pool in self._move_requests.pending().items():
             record = hosts[host].record if host in hosts else None
             if record is None or record["pool"] == target_pool:
                 self._move_requests.finish(host, target_pool)
             elif record["state"] == HostState.ACTIVE:
-                begun.append(Move(host, record["pool"], target_pool))
-        return self._begin(begun[:CHANGES_PER_STEP_COUNT])
+                moves.append(Move(host, record["pool"], target_pool))
+        return self._start_moves(moves[:CHANGES_PER_STEP_COUNT])
 
-    def _begin_moves(self, hosts: Mapping[str, HostRow]) -> tuple[str, ...]:
+    def _start_planned_moves(self, hosts: Mapping[str, HostRow]) -> tuple[str, ...]:
         budgets = {name: row.record for name, row in self._budgets.values.items()}
         needs = {pool: need for pool, need in self.needs().items() if pool in budgets}
-        request = MoveRequest(
+        plan_input = MovePlanInput(
             hosts=tuple(row.record for row in hosts.values()),
             budgets=budgets,
             needs=needs,
             failed_hosts=frozenset(self._absent_since_s),
             moves_count=CHANGES_PER_STEP_COUNT,
         )
-        return self._begin(plan_moves(request).moves)
+        return self._start_moves(plan_moves(plan_input).moves)
 
-    def _begin(self, moves: Sequence[Move]) -> tuple[str, ...]:
-        begun = []
+    def _start_moves(self, moves: Sequence[Move]) -> tuple[str, ...]:
+        started = []
         for move in moves:
             try:
-                self._registry.begin_move(move.host, move.target_pool)
+                self._registry.start_move(move.host, move.target_pool)
             except (PoolOperationError, StoreConflictError):
                 continue
-            begun.append(move.host)
-        return tuple(begun)
+            started.append(move.host)
+        return tuple(started)
 
 
 def _should_be_listed(row: HostRow) -> bool:
-    # The maintenance controller takes care of hosts that it reboots.
+    # The maintenance controller handles the hosts that drain for it or reboot.
     return row.record["maintenance_id"] is None
 
 
--- a/src/sycamorecroft/pools/demand.py
+++ b/src/sycamorecroft/pools/demand.py
@@ -1,22 +1,23 @@
-"""Needs of pools from measured demand."""
+"""Number of hosts that each pool needs, derived from measured demand."""
 
 import math
 from collections import deque
 from typing import NamedTuple
 
-# Demand is averaged over this time, so that peaks of seconds are left to queueing.
+# Demand is averaged over this window, so that peaks of a few seconds are absorbed by
+# queueing.
 AVERAGE_WINDOW_S = 60.0
-# A pool gives up a host only after its need was lower for this time.
+# A pool releases a host only after its need was lower for this time (hysteresis).
 RELEASE_WINDOW_S = 600.0
 
 
 class PoolNeed(NamedTuple):
-    """Hosts that a pool needs.
+    """Number of hosts that a pool needs.
 
-    ``release_count`` is the highest need within the release window; the pool gives
-    up hosts beyond it. ``expected_duration_s`` is how long the need is expected to
-    stay as high as it is: as long as it has lasted, which bounds the cost of waiting
-    by the cost of a move (rent-or-buy).
+    ``release_count`` is the highest need within the release window; the pool releases
+    only hosts beyond it. ``expected_duration_s`` is how long the need is expected to
+    exceed the supply: as long as it has done so already, which bounds the cost of
+    waiting by the cost of a move (rent-or-buy).
     """
 
     needed_count: int
@@ -30,9 +31,9 @@
 
 
 class DemandTracker:
-    """Need of one pool from samples of its demand.
+    """Derives the need of one pool from samples of its demand.
 
-    :param headroom_ratio: share of a host's capacity that is left free.
+    :param headroom_ratio: share of each host's capacity that is kept free.
     """
 
     def __init__(self, *, headroom_ratio: float = 0.1) -> None:
@@ -41,9 +42,10 @@
         self._needs: deque[_Sample] = deque()
 
     def observe(self, demand_hosts: float, now_s: float) -> None:
-        """
-        :param demand_hosts: demand in hosts at full use.
-        :param now_s: monotonic time in seconds, not before earlier samples.
+        """Records a sample of the demand.
+
+        :param demand_hosts: demand in fully utilized hosts.
+        :param now_s: monotonic time in seconds, not before that of earlier samples.
         """
         self._samples.append(_Sample(now_s, demand_hosts))
         _drop_before(self._samples, now_s - AVERAGE_WINDOW_S)
@@ -54,20 +56,21 @@
 
     def need(self, supply_count: int, now_s: float) -> PoolNeed:
         """
-        :param supply_count: hosts that the pool has in service or on their way.
+        :param supply_count: hosts of the pool in service and hosts moving to it.
         :param now_s: monotonic time in seconds.
+        :returns: the need; zero before the first sample.
         """
         if not self._needs:
             return PoolNeed(0, 0, 0.0)
-        short_since_s = now_s
+        shortage_since_s = now_s
         for sample in reversed(self._needs):
             if sample.value <= supply_count:
                 break
-            short_since_s = sample.time_s
+            shortage_since_s = sample.time_s
         return PoolNeed(
             needed_count=int(self._needs[-1].value),
             release_count=int(max(sample.value for sample in self._needs)),
-            expected_duration_s=now_s - short_since_s,
+            expected_duration_s=now_s - shortage_since_s,
         )
 
 
--- a/src/sycamorecroft/pools/host_rows.py
+++ b/src/sycamorecroft/pools/host_rows.py
@@ -1,4 +1,4 @@
-"""Conditional transactions on host rows and the budget rows they concern."""
+"""Conditional transactions on host rows and the budget rows of their pools."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import NamedTuple, TypeAlias
@@ -30,21 +30,22 @@
 HostChange: TypeAlias = Callable[[HostRecord], HostRecord]
 
 
-class SideWrite(NamedTuple):
+class ExtraWrite(NamedTuple):
     """Checks and puts that a caller adds to an operation's transaction."""
 
     checks: tuple[Check, ...] = ()
     puts: tuple[Put, ...] = ()
 
 
-NO_SIDE_WRITE = SideWrite()
+NO_EXTRA_WRITE = ExtraWrite()
 
 
-class HostRows:
-    """Host and budget rows, changed under a controller's lease.
+class HostRowStore:
+    """Stores host and budget rows under a controller's lease.
 
     Each change checks the host row, the lease row and the budget rows of the pools
-    concerned in one transaction, and is decided again when a check fails.
+    concerned in one transaction. When a check fails, the change is evaluated again on
+    the rows as they are then.
     """
 
     def __init__(self, table: TableService, lease: ControllerLease) -> None:
@@ -77,7 +78,8 @@
     def set_budget(self, pool: str, max_unavailable_ratio: float) -> BudgetRow:
         """Creates the pool's budget row, or sets its ratio.
 
-        :raises StoreConflictError: when other writers won each attempt.
+        :returns: the row as stored.
+        :raises StoreConflictError: when each attempt lost to another writer.
         """
         for _ in range(CONFLICT_ATTEMPTS_COUNT):
             row = self.read_budget(pool)
@@ -90,10 +92,10 @@
         raise _conflict("set the budget of pool", pool)
 
     def insert(self, record: HostRecord) -> HostRow:
-        """Writes a host that isn't registered.
+        """Registers a host, unless it is registered already.
 
-        :returns: the host's row, also if another writer registered it before.
-        :raises StoreConflictError: when other writers won each attempt.
+        :returns: the new row, or the row that exists.
+        :raises StoreConflictError: when each attempt lost to another writer.
         """
         host = record["host"]
         for _ in range(CONFLICT_ATTEMPTS_COUNT):
@@ -107,7 +109,7 @@
         raise _conflict("register host", host)
 
     def delete(self, row: HostRow) -> None:
-        """Deletes a host's row if it is unchanged.
+        """Deletes a host's row, if it is unchanged since it was read.
 
         :raises StoreConflictError: when another writer changed it.
         """
@@ -121,17 +123,19 @@
         self,
         host: str,
         change: HostChange,
-        side: SideWrite = NO_SIDE_WRITE,
+        extra: ExtraWrite = NO_EXTRA_WRITE,
         *,
         expected_version: int | None = None,
     ) -> HostRow:
         """Changes a host's record.
 
         :param change: returns the new record, or its argument for no change; called
-            again with the newest record after a conflict.
-        :param expected_version: only change the row if it has this version.
+            again with the current record after a conflict.
+        :param extra: checks and puts added to the transaction.
+        :param expected_version: version that the row must have, ``None`` for any.
+        :returns: the row as stored.
         :raises PoolOperationError: when the host isn't registered.
-        :raises StoreConflictError: when other writers won each attempt.
+        :raises StoreConflictError: when each attempt lost to another writer.
         """
         for _ in range(CONFLICT_ATTEMPTS_COUNT):
             row = self.read_known(host)
@@ -141,22 +145,24 @@
             if after is row.record:
                 return row
             try:
-                return HostRow(after, self._commit(host, row, after, side))
+                return HostRow(after, self._commit(host, row, after, extra))
             except StoreConflictError:
                 self._require_holder()
         raise _conflict("change host", host)
 
     def _require_holder(self) -> None:
-        # Otherwise the operation would be decided again on rows of another holder.
+        # Without the lease, a retry would act on rows that another holder has changed.
         if not self._lease.confirm():
-            raise NotLeaseHolderError("another controller has taken the lease")
+            raise NotLeaseHolderError(
+                "another controller holds the lease; acquire it before the operation"
+            )
 
     def _commit(
         self,
         host: str,
         row: HostRow | None,
         after: HostRecord | None,
-        side: SideWrite = NO_SIDE_WRITE,
+        extra: ExtraWrite = NO_EXTRA_WRITE,
     ) -> int:
         deltas = budget_deltas(None if row is None else row.record, after)
         budgets = {pool: self._require_budget(pool) for pool in deltas}
@@ -164,11 +170,11 @@
             Check(HOSTS_TABLE, host, None if row is None else row.version),
             self._lease.check(),
             *(Check(POOLS_TABLE, pool, item.version) for pool, item in budgets.items()),
-            *side.checks,
+            *extra.checks,
         ]
         puts = _puts(host, after, _budget_puts(budgets, deltas))
         return transact_resolved(
-            self._table, checks, [*puts, *side.puts], purpose=_PURPOSE
+            self._table, checks, [*puts, *extra.puts], purpose=_PURPOSE
         )
 
     def _commit_budget(
@@ -195,8 +201,8 @@
 def _puts(
     host: str, after: HostRecord | None, budget_puts: Sequence[Put]
 ) -> Sequence[Put]:
-    # The first put carries the token that resolves a lost response, which a deleted
-    # row can't.
+    # The first put carries the token by which a lost response is resolved; a deletion
+    # can't carry one.
     if after is None:
         return [*budget_puts, Put(HOSTS_TABLE, host, None)]
     return [Put(HOSTS_TABLE, host, encode_record(after)), *budget_puts]
--- a/src/sycamorecroft/pools/inventory.py
+++ b/src/sycamorecroft/pools/inventory.py
@@ -1,4 +1,4 @@
-"""Inventory of worker hosts: which pool each host should be in."""
+"""Inventory of hosts: the pool that operators declare for each host."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class Inventory(NamedTuple):
-    """Declared hosts, and the version of the declaration (0: none yet)."""
+    """Declared hosts, and the version of the declaration (0: none published)."""
 
     version: int
     hosts: tuple[NewHost, ...]
@@ -32,7 +32,8 @@
 
     def read(self, purpose: StorePurpose = StorePurpose.POOLS) -> Inventory:
         """
-        :raises StoreUnavailableError: when no answer was had in time.
+        :returns: the inventory in force; empty with version 0 when none is published.
+        :raises StoreUnavailableError: when the store could not be read.
         """
         row = self._table.read(INVENTORY_TABLE, _KEY, purpose=purpose)
         if row is None or row.value is None:
@@ -44,9 +45,9 @@
         """Replaces the inventory. Publishing the same hosts again changes nothing.
 
         :param base_version: version that the operator's change is based on.
-        :raises ConfigurationError: if a host occurs twice.
+        :raises ConfigurationError: if a host is listed twice.
         :raises ConfigurationConflictError: if another version was published first.
-        :raises PlatformError: when the store gave no answer; repeat the call.
+        :raises PlatformError: when the store did not confirm the write; safe to retry.
         """
         declared = tuple(sorted(hosts))
         _require_unique(declared)
@@ -56,7 +57,7 @@
         if current.version != base_version:
             message = (
                 f"inventory is at version {current.version}, the change is based on "
-                f"{base_version}; read it and apply again"
+                f"{base_version}; read it again and reapply the change"
             )
             raise ConfigurationConflictError(message)
         value = msgspec.json.encode(_InventoryRow(declared))
@@ -72,5 +73,7 @@
     names = [host.host for host in hosts]
     repeated = sorted({name for name in names if names.count(name) > 1})
     if repeated:
-        message = f"inventory names {', '.join(repeated)} twice; name each host once"
+        message = (
+            f"inventory lists {', '.join(repeated)} more than once; list each host once"
+        )
         raise ConfigurationError(message)
--- a/src/sycamorecroft/pools/mirror.py
+++ b/src/sycamorecroft/pools/mirror.py
@@ -1,4 +1,4 @@
-"""Local copy of a table, kept up to date by scans of changed rows."""
+"""Local copy of a table, updated by scans of changed rows."""
 
 from collections.abc import Callable, Mapping
 from types import MappingProxyType
@@ -10,13 +10,13 @@
 
 
 class TableMirror(Generic[_Value]):
-    """Decoded rows of one table as of a commit number that never falls.
+    """Decoded rows of one table as of a commit number that never decreases.
 
     Only changed rows are read and decoded.
 
-    :param decode: decodes a live row; ``None`` leaves the row out. When it raises,
-        the copy stays as it was.
-    :param purpose: store budget that the scans use.
+    :param decode: decodes an existing row; returns ``None`` to omit the row. When it
+        raises, the copy stays unchanged.
+    :param purpose: store budget that the scans are charged to.
     """
 
     def __init__(
@@ -36,13 +36,13 @@
 
     @property
     def values(self) -> Mapping[str, _Value]:
-        """Decoded rows by key; replaced by :meth:`refresh`, never changed."""
+        """Decoded rows by key; immutable, replaced by :meth:`refresh`."""
         return MappingProxyType(self._values)
 
     def refresh(self) -> None:
         """Reads the rows that were written or deleted since the last refresh.
 
-        :raises StoreUnavailableError: when no answer was had in time.
+        :raises StoreUnavailableError: when the store could not be read.
         """
         scan = self._table.scan(
             self._name, purpose=self._purpose, after_version=self._version
@@ -50,10 +50,10 @@
         if scan.version < self._version:
             return
         if scan.rows:
-            self._values = self._changed(scan.rows)
+            self._values = self._apply(scan.rows)
         self._version = scan.version
 
-    def _changed(self, rows: tuple[Row, ...]) -> dict[str, _Value]:
+    def _apply(self, rows: tuple[Row, ...]) -> dict[str, _Value]:
         values = dict(self._values)
         for row in rows:
             values.pop(row.key, None)
--- a/src/sycamorecroft/pools/move_requests.py
+++ b/src/sycamorecroft/pools/move_requests.py
@@ -1,4 +1,4 @@
-"""Moves of hosts that operators ask for."""
+"""Store of the host moves that operators requested."""
 
 from collections.abc import Mapping
 from typing import TypedDict
@@ -29,16 +29,20 @@
 
 
 class MoveRequestStore:
-    """Requests that the pool controller carries out as the budgets allow."""
+    """Stores move requests until the pool controller has carried them out.
+
+    The controller starts a move only when the pool's budget allows it.
+    """
 
     def __init__(self, table: TableService) -> None:
         self._table = table
 
     def request(self, host: str, target_pool: str) -> MoveRequestRecord:
-        """Asks for a move; a later request for the same host replaces it.
+        """Stores a request, replacing any earlier one for the same host.
 
+        :returns: the stored record.
         :raises PoolOperationError: when the host or the pool is unknown.
-        :raises PlatformError: when the store gave no answer; repeat the call.
+        :raises PlatformError: when the store did not confirm the write; safe to retry.
         """
         self._require_known(HOSTS_TABLE, host, "host")
         self._require_known(POOLS_TABLE, target_pool, "pool")
@@ -52,8 +56,8 @@
 
     def pending(self) -> Mapping[str, str]:
         """
-        :returns: target pool by host.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :returns: target pool by host; malformed rows are logged and omitted.
+        :raises StoreUnavailableError: when the store could not be read.
         """
         scan = self._table.scan(MOVES_TABLE, purpose=StorePurpose.POOLS)
         targets = {}
@@ -61,16 +65,16 @@
             try:
                 record = _decode(row)
             except msgspec.MsgspecError as error:
-                # One malformed row must not hold up the controller's other work.
+                # One malformed row must not block the controller's other work.
                 _log.error("move_request_malformed", host=row.key, error=str(error))
                 continue
             targets[record["host"]] = record["target_pool"]
         return targets
 
     def finish(self, host: str, target_pool: str) -> None:
-        """Deletes a request that was carried out, unless it was replaced since.
+        """Deletes a completed request, unless a later one has replaced it.
 
-        :raises PlatformError: when the store gave no answer; repeat the call.
+        :raises PlatformError: when the store did not confirm the write; safe to retry.
         """
         row = self._table.read(MOVES_TABLE, host, purpose=StorePurpose.POOLS)
         if row is None or row.value is None:
@@ -83,9 +87,9 @@
             purpose=StorePurpose.POOLS,
         )
 
-    def _require_known(self, table: str, key: str, what: str) -> None:
+    def _require_known(self, table: str, key: str, kind: str) -> None:
         if self._table.read(table, key, purpose=StorePurpose.OPERATORS) is None:
-            message = f"{what} {key!r} is unknown; list the {what}s and name one"
+            message = f"{kind} {key!r} is unknown; list the {kind}s and choose one"
             raise PoolOperationError(message)
 
 
--- a/src/sycamorecroft/pools/planning.py
+++ b/src/sycamorecroft/pools/planning.py
@@ -1,8 +1,8 @@
-"""Plans of the shared reserve and of moves between pools. Pure.
+"""Planning of the shared buffer and of moves between pools, as pure functions.
 
-The reserve follows the idea of RAS (Newell et al., "RAS: Continuously Optimized
-Region-Wide Datacenter Resource Allocation", SOSP 2021): one buffer for the failure
-of any one rack, shared by all pools.
+The buffer follows RAS (Newell et al., "RAS: Continuously Optimized Region-Wide
+Datacenter Resource Allocation", SOSP 2021): one reserve for the failure of any one
+rack, shared by all pools.
 """
 
 from collections import Counter
@@ -13,25 +13,26 @@
 from sycamorecroft.pools.records import BudgetRecord, allowed_out_count
 from sycamorecroft.pools.state import HostRecord, HostState
 
-# Drain, acknowledgements and the slots lost meanwhile, there and back again.
-MOVE_PRICE_S = 120.0
-# Keeps one plan within the store budget of pools and maintenance.
+# Cost of a move and the move back: drain, acknowledgements and the slots lost during
+# them.
+MOVE_COST_S = 120.0
+# Keeps the writes of one plan within the store budget of pools and maintenance.
 MOVES_PER_PLAN_COUNT = 10
 
 
 class PlacedHost(NamedTuple):
-    """A host in service, its pool and its rack."""
+    """A host in service, with its pool and its rack."""
 
     host: str
     pool: str
     rack: str
 
 
-class BufferRequest(NamedTuple):
-    """What :func:`plan_buffer` decides on.
+class BufferPlanInput(NamedTuple):
+    """Input of :func:`plan_buffer`.
 
-    ``needs`` is the number of hosts that each pool's demand needs, ``batches`` the
-    number that a maintenance wave may take from each pool at once.
+    ``needs`` is the number of hosts that the demand of each pool requires, ``batches``
+    the number that a maintenance wave may drain in each pool at once.
     """
 
     hosts: tuple[PlacedHost, ...]
@@ -40,59 +41,64 @@
 
 
 class BufferPlan(NamedTuple):
-    """Hosts to hold so that each need is met through one rack failure in a wave.
+    """Hosts to keep so that all needs are met if one rack fails during a wave.
 
-    ``reserve_count`` are held hosts beyond the needs. ``missing_count`` is how many
-    hosts the fleet lacks for that, 0 when the plan holds. ``binding_rack`` is the
-    rack whose failure needs the reserve most.
+    ``reserve_count`` is the number of allocated hosts beyond the needs.
+    ``missing_count`` is the number of hosts that the fleet lacks for this, 0 when the
+    plan is feasible. ``binding_rack`` is the rack with the most allocated hosts, whose
+    failure determines the size of the buffer.
     """
 
-    held_hosts: frozenset[str]
+    allocated_hosts: frozenset[str]
     reserve_count: int
     missing_count: int
     binding_rack: str
 
 
-def plan_buffer(request: BufferRequest) -> BufferPlan:
-    """Chooses the hosts to hold, spread over racks so that no failure takes many.
+def plan_buffer(plan_input: BufferPlanInput) -> BufferPlan:
+    """Chooses the hosts to keep, spread over racks so that a rack failure loses few.
 
-    The reserve is the largest number of held hosts in one rack plus the hosts of a
-    wave, since any held host may be moved to a pool that lost one.
+    The buffer is the largest number of allocated hosts in one rack plus the hosts of
+    a wave, since any allocated host can be moved to a pool that lost one.
     """
-    wanted = Counter(request.needs) + Counter(request.batches)
-    held = _hold_own_hosts(request.hosts, wanted)
-    required_count = wanted.total()
-    spare = [host for host in request.hosts if host not in held]
-    while spare and _surviving_count(held) < required_count:
-        loads = _rack_loads(held)
+    required_counts = Counter(plan_input.needs) + Counter(plan_input.batches)
+    allocated = _allocate_within_pools(plan_input.hosts, required_counts)
+    required_count = required_counts.total()
+    spare = [host for host in plan_input.hosts if host not in allocated]
+    while spare and _surviving_count(allocated) < required_count:
+        loads = _rack_loads(allocated)
         host = min(spare, key=lambda item: (loads[item.rack], item.rack, item.host))
         spare.remove(host)
-        held.append(host)
-    loads = _rack_loads(held)
+        allocated.append(host)
+    loads = _rack_loads(allocated)
     return BufferPlan(
-        held_hosts=frozenset(host.host for host in held),
-        reserve_count=len(held) - sum(request.needs.values()),
-        missing_count=max(0, required_count - _surviving_count(held)),
+        allocated_hosts=frozenset(host.host for host in allocated),
+        reserve_count=len(allocated) - sum(plan_input.needs.values()),
+        missing_count=max(0, required_count - _surviving_count(allocated)),
         binding_rack=max(sorted(loads), key=lambda rack: loads[rack], default=""),
     )
 
 
-def _hold_own_hosts(
-    hosts: Sequence[PlacedHost], wanted: Mapping[str, int]
+def _allocate_within_pools(
+    hosts: Sequence[PlacedHost], required_counts: Mapping[str, int]
 ) -> list[PlacedHost]:
-    """Lets each pool hold what it wants of its own hosts, in racks with few held."""
-    held: list[PlacedHost] = []
+    """Allocates to each pool hosts of its own, from the racks with fewest allocated."""
+    allocated: list[PlacedHost] = []
     loads: Counter[str] = Counter()
-    free = {pool: [host for host in hosts if host.pool == pool] for pool in wanted}
-    missing = Counter(wanted)
+    free = {
+        pool: [host for host in hosts if host.pool == pool] for pool in required_counts
+    }
+    missing = Counter(required_counts)
     while any(missing[pool] > 0 and free[pool] for pool in free):
-        choices = [host for pool in free if missing[pool] > 0 for host in free[pool]]
-        host = min(choices, key=lambda item: (loads[item.rack], item.rack, item.host))
+        candidates = [host for pool in free if missing[pool] > 0 for host in free[pool]]
+        host = min(
+            candidates, key=lambda item: (loads[item.rack], item.rack, item.host)
+        )
         free[host.pool].remove(host)
         missing[host.pool] -= 1
         loads[host.rack] += 1
-        held.append(host)
-    return held
+        allocated.append(host)
+    return allocated
 
 
 def _rack_loads(hosts: Sequence[PlacedHost]) -> Counter[str]:
@@ -104,34 +110,34 @@
 
 
 class Move(NamedTuple):
-    """Move of a host between pools."""
+    """Move of a host from one pool to another."""
 
     host: str
     source_pool: str
     target_pool: str
 
 
-class MoveRequest(NamedTuple):
-    """What :func:`plan_moves` decides on.
+class MovePlanInput(NamedTuple):
+    """Input of :func:`plan_moves`.
 
-    ``needs`` names each pool that may give or take hosts. ``failed_hosts`` are hosts
-    that the platform reports as gone or leaving. ``price_s`` is the time for which a
-    moved host must be expected to be needed.
+    ``needs`` holds each pool that may release or receive hosts. ``failed_hosts`` are
+    registered hosts that are absent from the platform's list. ``cost_s`` is the time
+    for which a need must be expected to last to justify a move.
     """
 
     hosts: tuple[HostRecord, ...]
     budgets: Mapping[str, BudgetRecord]
     needs: Mapping[str, PoolNeed]
     failed_hosts: frozenset[str] = frozenset()
-    price_s: float = MOVE_PRICE_S
+    cost_s: float = MOVE_COST_S
     moves_count: int = MOVES_PER_PLAN_COUNT
 
 
 class MovePlan(NamedTuple):
-    """Moves to begin now, and hosts that pools still lack after them."""
+    """Moves to start now, and the shortage of hosts that remains in each pool."""
 
     moves: tuple[Move, ...]
-    lacking_counts: Mapping[str, int]
+    shortage_counts: Mapping[str, int]
 
 
 def supply_counts(
@@ -149,42 +155,46 @@
     return supplies
 
 
-def plan_moves(request: MoveRequest) -> MovePlan:
-    """Moves hosts to pools whose need is expected to outlast the price of a move.
+def plan_moves(plan_input: MovePlanInput) -> MovePlan:
+    """Plans moves to pools whose need is expected to outlast the cost of a move.
 
-    A pool gives only hosts beyond its highest need within the release window, and
-    only as many as its budget lets out at once. Hosts that no pool needs stay where
-    they are, because any of them serves as reserve from there.
+    A pool releases only hosts beyond its highest need within the release window, and
+    only as many as its budget allows out of service at once. Hosts that no pool needs
+    stay in their pool, since they serve as buffer from there.
     """
-    lacking = _lacking_counts(request)
-    givers = _giving_counts(request)
-    moves = assign_hosts(request, lacking, givers)
-    taken = Counter(move.target_pool for move in moves)
-    still = {pool: count - taken[pool] for pool, count in lacking.items()}
-    return MovePlan(moves, {pool: count for pool, count in still.items() if count > 0})
+    shortages = _shortage_counts(plan_input)
+    surpluses = _surplus_counts(plan_input)
+    moves = assign_hosts(plan_input, shortages, surpluses)
+    assigned = Counter(move.target_pool for move in moves)
+    left = {pool: count - assigned[pool] for pool, count in shortages.items()}
+    return MovePlan(moves, {pool: count for pool, count in left.items() if count > 0})
 
 
 def assign_hosts(
-    request: MoveRequest, lacking: Mapping[str, int], giving: Mapping[str, int]
+    plan_input: MovePlanInput,
+    shortages: Mapping[str, int],
+    surpluses: Mapping[str, int],
 ) -> tuple[Move, ...]:
-    """Gives one host at a time to the pool that lacks most.
+    """Assigns hosts one at a time to the pool with the largest shortage.
 
-    The host comes from a rack where the taker has few hosts and the giver many, so
-    that both stay spread over racks.
+    Each host comes from a rack in which the target pool has few hosts and the source
+    pool many, so that both pools stay spread over racks.
     """
-    missing = Counter(lacking)
-    spare = Counter(giving)
+    missing = Counter(shortages)
+    spare = Counter(surpluses)
     in_service = [
-        host for host in request.hosts if _is_in_service(host, request.failed_hosts)
+        host
+        for host in plan_input.hosts
+        if _is_in_service(host, plan_input.failed_hosts)
     ]
     loads = Counter((host["pool"], host["rack"]) for host in in_service)
     moves: list[Move] = []
-    while len(moves) < request.moves_count:
+    while len(moves) < plan_input.moves_count:
         target = max(sorted(missing), key=lambda pool: missing[pool], default="")
         candidates = [host for host in in_service if spare[host["pool"]] > 0]
         if missing[target] < 1 or not candidates:
             break
-        host = min(candidates, key=lambda item: _cost(item, target, loads, spare))
+        host = min(candidates, key=lambda item: _move_cost(item, target, loads, spare))
         source = host["pool"]
         in_service.remove(host)
         loads[source, host["rack"]] -= 1
@@ -195,7 +205,7 @@
     return tuple(moves)
 
 
-def _cost(
+def _move_cost(
     host: HostRecord,
     target: str,
     loads: Mapping[tuple[str, str], int],
@@ -206,31 +216,31 @@
     return (spread_cost, -spare[source], host["host"])
 
 
-def _lacking_counts(request: MoveRequest) -> Mapping[str, int]:
-    supplies = supply_counts(request.hosts, request.failed_hosts)
+def _shortage_counts(plan_input: MovePlanInput) -> Mapping[str, int]:
+    supplies = supply_counts(plan_input.hosts, plan_input.failed_hosts)
     return {
         pool: need.needed_count - supplies.get(pool, 0)
-        for pool, need in request.needs.items()
+        for pool, need in plan_input.needs.items()
         if need.needed_count > supplies.get(pool, 0)
-        and need.expected_duration_s >= request.price_s
+        and need.expected_duration_s >= plan_input.cost_s
     }
 
 
-def _giving_counts(request: MoveRequest) -> Mapping[str, int]:
+def _surplus_counts(plan_input: MovePlanInput) -> Mapping[str, int]:
     in_service = Counter(
         host["pool"]
-        for host in request.hosts
-        if _is_in_service(host, request.failed_hosts)
+        for host in plan_input.hosts
+        if _is_in_service(host, plan_input.failed_hosts)
     )
-    sizes = Counter(host["pool"] for host in request.hosts)
-    giving: dict[str, int] = {}
-    for pool, need in request.needs.items():
+    sizes = Counter(host["pool"] for host in plan_input.hosts)
+    surpluses: dict[str, int] = {}
+    for pool, need in plan_input.needs.items():
         out_count = sizes[pool] - in_service[pool]
-        free_count = allowed_out_count(request.budgets[pool]) - out_count
-        # A pool keeps at least one host for the requests that may still come.
+        budget_left_count = allowed_out_count(plan_input.budgets[pool]) - out_count
+        # A pool without demand keeps one host for requests that may still arrive.
         surplus_count = in_service[pool] - max(1, need.release_count)
-        giving[pool] = max(0, min(free_count, surplus_count))
-    return giving
+        surpluses[pool] = max(0, min(budget_left_count, surplus_count))
+    return surpluses
 
 
 def _is_in_service(host: HostRecord, failed_hosts: frozenset[str]) -> bool:
--- a/src/sycamorecroft/pools/records.py
+++ b/src/sycamorecroft/pools/records.py
@@ -1,7 +1,7 @@
-"""Encoding of host, entry and pool budget rows.
+"""Encoding of the rows of hosts, entry hosts and pool budgets.
 
-Unknown fields of host rows are kept, so that a daemon of an older version doesn't
-delete what a newer one wrote.
+Decoding keeps unknown fields, so that a daemon of an older version doesn't delete what
+a newer one wrote.
 """
 
 from typing import NamedTuple, TypedDict, TypeVar
@@ -9,7 +9,7 @@
 import msgspec
 
 from sycamorecroft.errors import RecordError
-from sycamorecroft.pools.state import EntryRecord, HostRecord
+from sycamorecroft.pools.state import EntryHostRecord, HostRecord
 from sycamorecroft.store.interfaces import Row
 
 HOSTS_TABLE = "hosts"
@@ -23,7 +23,7 @@
     """Value of a row of table ``pools``.
 
     ``hosts_count`` includes hosts out of service. ``planned_out_count`` counts
-    draining, drained and rebooting hosts, ``failed_out_count`` those taken out.
+    draining, drained and rebooting hosts, ``failed_out_count`` the failed ones.
     """
 
     pool: str
@@ -49,14 +49,14 @@
 
 def allowed_out_count(budget: BudgetRecord) -> int:
     """
-    :returns: hosts of the pool that may be out of service at once.
+    :returns: number of hosts of the pool that may be out of service at once.
     """
     return int(budget["hosts_count"] * budget["max_unavailable_ratio"] + 1e-9)
 
 
-def encode_record(record: HostRecord | EntryRecord | BudgetRecord) -> bytes:
+def encode_record(record: HostRecord | EntryHostRecord | BudgetRecord) -> bytes:
     """
-    :returns: the record as JSON text.
+    :returns: the record as JSON.
     """
     return msgspec.json.encode(record)
 
@@ -68,11 +68,11 @@
     return decode_record(value, HostRecord)
 
 
-def decode_entry(value: bytes) -> EntryRecord:
+def decode_entry_host(value: bytes) -> EntryHostRecord:
     """
     :raises RecordError: when a known field is missing or malformed.
     """
-    return decode_record(value, EntryRecord)
+    return decode_record(value, EntryHostRecord)
 
 
 def decode_budget(value: bytes) -> BudgetRecord:
@@ -91,8 +91,8 @@
 
 def find_host_row(row: Row) -> HostRow | None:
     """
-    :returns: the row, ``None`` when it is malformed: such a host gets no work and no
-        planned change, and doesn't stop those of others.
+    :returns: the row, ``None`` when it is malformed. A malformed row takes its host out
+        of routing and planning without affecting other hosts.
     """
     try:
         return host_row(row)
@@ -108,16 +108,17 @@
 
 
 def decode_record(value: bytes, record_type: type[Record]) -> Record:
-    """Decodes a row's value; fields that this version doesn't know are kept.
+    """Decodes the value of a row.
 
     :param record_type: ``TypedDict`` of the known fields.
+    :returns: the record, with any fields that ``record_type`` doesn't declare.
     :raises RecordError: when a known field is missing or malformed.
     """
     try:
-        raw = msgspec.json.decode(value)
-        known = msgspec.convert(raw, record_type)
+        fields = msgspec.json.decode(value)
+        known = msgspec.convert(fields, record_type)
     except msgspec.MsgspecError as error:
-        message = f"row is no {record_type.__name__}: {error}; received {value[:200]!r}"
+        message = f"invalid {record_type.__name__} row: {error}; got {value[:200]!r}"
         raise RecordError(message) from error
-    raw.update(known)
-    return raw
+    fields.update(known)
+    return fields
--- a/src/sycamorecroft/pools/registration.py
+++ b/src/sycamorecroft/pools/registration.py
@@ -7,18 +7,20 @@
 from sycamorecroft.errors import NotLeaseHolderError, StoreConflictError
 from sycamorecroft.invariants import check_version_never_falls
 from sycamorecroft.leases.transactions import transact_resolved
-from sycamorecroft.pools.records import ENTRIES_TABLE, decode_entry, encode_record
-from sycamorecroft.pools.state import EntryRecord
+from sycamorecroft.pools.records import ENTRIES_TABLE, decode_entry_host, encode_record
+from sycamorecroft.pools.state import EntryHostRecord
 from sycamorecroft.store.interfaces import Check, Put, StorePurpose, TableService
 
 REGISTRATION_TERM_S = 10.0
 _PURPOSE = StorePurpose.REGISTRATION
 
 
-class EntryRegistration:
-    """Writes the row of one start of an entry host, about every 2 s.
+class EntryHostRegistration:
+    """Maintains the registration row of one incarnation of an entry host.
 
-    :param incarnation: unique for each start of the process.
+    The daemon renews it about every 2 s.
+
+    :param incarnation: identifies this start of the process; unique.
     """
 
     def __init__(
@@ -33,28 +35,31 @@
         self._view_version = 0
 
     def may_own_queues(self, view_version: int) -> bool:
-        """Tells whether a view is new enough to grant slots on it.
+        """Returns whether a view is new enough to grant slots on it.
 
-        A view that was read before this start registered may miss a move that was
-        completed meanwhile without asking this entry host.
+        A view that was read before this incarnation registered may miss a move that
+        was completed meanwhile without this entry host's acknowledgement.
 
-        :param view_version: version of the view that was read from the store.
+        :param view_version: version of a view that was read from the store.
         """
         return self._first_version is not None and view_version >= self._first_version
 
     def renew(
         self, *, view_version: int, staged_version: int, granted_hosts: Iterable[str]
     ) -> None:
-        """Registers, or acknowledges the view in use.
-
-        :param granted_hosts: workers with grants that this host holds or has issued,
-            collected after the view came into use.
-        :raises NotLeaseHolderError: when another start of the host has registered.
-        :raises PlatformError: when the store gave no answer.
+        """Registers the entry host, or renews its registration, and acknowledges views.
+
+        :param view_version: version of the pool view in use.
+        :param staged_version: version of the configuration that is staged.
+        :param granted_hosts: hosts with grants that this entry host holds or has
+            issued, collected after the view came into use.
+        :raises NotLeaseHolderError: when another incarnation of the entry host has
+            registered.
+        :raises PlatformError: when the store did not confirm the write.
         """
         check_version_never_falls(self._view_version, view_version)
         self._view_version = view_version
-        record = EntryRecord(
+        record = EntryHostRecord(
             entry=self._entry,
             incarnation=self._incarnation,
             view_version=view_version,
@@ -70,7 +75,7 @@
             self._row_version = self._own_version()
             self._write(record)
 
-    def _write(self, record: EntryRecord) -> None:
+    def _write(self, record: EntryHostRecord) -> None:
         put = Put(ENTRIES_TABLE, self._entry, encode_record(record))
         check = Check(ENTRIES_TABLE, self._entry, self._row_version)
         version = transact_resolved(self._table, [check], [put], purpose=_PURPOSE)
@@ -86,11 +91,11 @@
         row = self._table.read(ENTRIES_TABLE, self._entry, purpose=StorePurpose.VIEW)
         if row is None or row.value is None:
             return None
-        incarnation = decode_entry(row.value)["incarnation"]
+        incarnation = decode_entry_host(row.value)["incarnation"]
         if incarnation != self._incarnation:
             message = (
-                f"entry host {self._entry!r} is registered by start {incarnation!r}, "
-                f"not {self._incarnation!r}; this process must stop"
+                f"entry host {self._entry!r} is registered by incarnation "
+                f"{incarnation!r}, not {self._incarnation!r}; stop this process"
             )
             raise NotLeaseHolderError(message)
         return row.version
--- a/src/sycamorecroft/pools/registry.py
+++ b/src/sycamorecroft/pools/registry.py
@@ -1,4 +1,4 @@
-"""Operations on hosts and pools."""
+"""Operations on registered hosts and on pools, under a controller's lease."""
 
 from typing import NamedTuple
 
@@ -16,12 +16,12 @@
     DrainingHost,
     evaluate_clearance,
 )
-from sycamorecroft.pools.host_rows import NO_SIDE_WRITE, HostRows, SideWrite
+from sycamorecroft.pools.host_rows import NO_EXTRA_WRITE, ExtraWrite, HostRowStore
 from sycamorecroft.pools.records import (
     ENTRIES_TABLE,
     BudgetRow,
     HostRow,
-    decode_entry,
+    decode_entry_host,
 )
 from sycamorecroft.pools.state import HostRecord, HostState
 from sycamorecroft.store.interfaces import (
@@ -33,7 +33,7 @@
 
 
 class NewHost(NamedTuple):
-    """A host to register. ``address`` is ``ip:port``."""
+    """A host to register; ``address`` is ``ip:port``."""
 
     host: str
     address: str
@@ -44,20 +44,21 @@
     connections_count: int
 
 
-class _Sighting(NamedTuple):
+class _Observation(NamedTuple):
     version: int
     first_seen_s: float
 
 
 class PoolRegistry:
-    """Host operations of one controller, under that controller's lease.
+    """Executes host operations of one controller.
 
     Each operation is one transaction that checks the host row, the lease row and the
     budget rows of the pools concerned. All operations raise
-    :class:`~sycamorecroft.errors.PlatformError` when the store gives no answer and
-    :class:`~sycamorecroft.errors.NotLeaseHolderError` when the lease is not held. An
-    operation that already took effect returns the row, except ``complete_move`` and
-    ``cancel_move``, after which the row doesn't tell what was asked for.
+    :class:`~sycamorecroft.errors.PlatformError` when the store doesn't answer and
+    :class:`~sycamorecroft.errors.NotLeaseHolderError` when the lease is not held. They
+    are idempotent and return the row if it is in the requested state already, except
+    ``complete_move`` and ``cancel_move``, after which the row no longer shows what was
+    requested.
 
     :param lease: lease of the controller that uses this registry.
     """
@@ -70,10 +71,10 @@
         clock: Clock,
     ) -> None:
         self._table = table
-        self._rows = HostRows(table, lease)
+        self._rows = HostRowStore(table, lease)
         self._host_list = host_list
         self._clock = clock
-        self._sightings: dict[str, _Sighting] = {}
+        self._observations: dict[str, _Observation] = {}
 
     def read_host(self, host: str) -> HostRow | None:
         """
@@ -88,17 +89,17 @@
         return self._rows.read_budget(pool)
 
     def acknowledgements(self) -> Acknowledgements:
-        """Reads all registrations of entry hosts and the platform's host list."""
+        """Reads the registrations of all entry hosts and the platform's host list."""
         rows = self._table.scan(ENTRIES_TABLE, purpose=StorePurpose.POOLS).rows
-        entries = tuple(decode_entry(row.value or b"") for row in rows)
+        registrations = tuple(decode_entry_host(row.value or b"") for row in rows)
         try:
             listing = self._host_list.list_hosts()
         except StoreUnavailableError:
-            return Acknowledgements(entries, None, None, self._clock.now())
+            return Acknowledgements(registrations, None, None, self._clock.now())
         listed = frozenset(
             host.name for host in listing.hosts if host.role is HostRole.ENTRY
         )
-        return Acknowledgements(entries, listed, listing.as_of, self._clock.now())
+        return Acknowledgements(registrations, listed, listing.as_of, self._clock.now())
 
     def clearance(self, row: HostRow, acknowledgements: Acknowledgements) -> Clearance:
         """
@@ -106,18 +107,22 @@
         :returns: which entry hosts may still send requests to the draining host.
         """
         now_s = self._clock.monotonic_s()
-        sighting = self._note_sighting(row)
+        observation = self._observe(row)
         draining = DrainingHost(
-            row.record["host"], row.version, now_s - sighting.first_seen_s
+            row.record["host"], row.version, now_s - observation.first_seen_s
         )
         return evaluate_clearance(draining, acknowledgements)
 
     def ensure_pool(self, pool: str, max_unavailable_ratio: float) -> BudgetRow:
-        """Creates the pool's budget row, or sets its ratio."""
+        """Creates the pool's budget row, or sets its ratio.
+
+        :returns: the row as stored.
+        """
         return self._rows.set_budget(pool, max_unavailable_ratio)
 
     def register_host(self, new_host: NewHost) -> HostRow:
         """
+        :returns: the host's row, also when it was registered in this pool already.
         :raises PoolOperationError: when the host is registered in another pool, or
             the pool has no budget row.
         """
@@ -133,11 +138,13 @@
     def remove_host(
         self, host: str, acknowledgements: Acknowledgements | None = None
     ) -> None:
-        """Deletes the row of a host that is out and that no entry host can reach.
+        """Deletes the row of a failed host to which no entry host can send requests.
 
-        :raises PoolOperationError: when the host isn't out.
+        :param acknowledgements: as for :meth:`complete_move`.
+        :raises PoolOperationError: when the host's state isn't ``out``.
         :raises HostBlockedError: when an entry host may still send requests to it.
-        :raises BudgetExceededError: when the pool couldn't bear the smaller size.
+        :raises BudgetExceededError: when the hosts out for planned work exceed the
+            budget of the smaller pool.
         """
         row = self.read_host(host)
         if row is None:
@@ -145,37 +152,42 @@
         if row.record["state"] != HostState.OUT:
             message = (
                 f"can't remove host {host!r}: its state is {row.record['state']!s}; "
-                "take it out first"
+                "take it out of service first"
             )
             raise PoolOperationError(message)
         self._require_clear(row, acknowledgements)
         self._rows.delete(row)
 
-    def begin_move(self, host: str, target_pool: str) -> HostRow:
-        """
-        :raises PoolOperationError: when the host isn't active, or the pool unknown.
-        :raises BudgetExceededError: when too many hosts of its pool are out.
+    def start_move(self, host: str, target_pool: str) -> HostRow:
+        """Makes the host drain for a move to another pool.
+
+        :raises PoolOperationError: when the host isn't active, or the pool has no
+            budget row.
+        :raises BudgetExceededError: when too many hosts of its pool are out of service.
         """
         if self.read_budget(target_pool) is None:
-            message = f"can't move host {host!r}: pool {target_pool!r} has no budget"
+            message = (
+                f"can't move host {host!r}: pool {target_pool!r} has no budget row; "
+                "configure the pool first"
+            )
             raise PoolOperationError(message)
 
         def change(before: HostRecord) -> HostRecord:
             if before["target_pool"] == target_pool:
                 return before
-            return transitions.begin_move(before, target_pool)
+            return transitions.start_move(before, target_pool)
 
         row = self._rows.change(host, change)
-        self._note_sighting(row)
+        self._observe(row)
         return row
 
     def complete_move(
         self, host: str, acknowledgements: Acknowledgements | None = None
     ) -> HostRow:
-        """Writes the host into its target pool.
+        """Assigns the draining host to its target pool.
 
-        :param acknowledgements: read after the host was seen draining; read here when
-            not given.
+        :param acknowledgements: read after the host was observed as draining; ``None``
+            to read them now.
         :raises HostBlockedError: when an entry host may still send requests to it.
         :raises PoolOperationError: when the host isn't being moved.
         """
@@ -187,37 +199,41 @@
         )
 
     def cancel_move(self, host: str) -> HostRow:
-        """Makes a draining host active again in the pool it never left.
+        """Makes a draining host active again in its present pool.
 
         :raises PoolOperationError: when the host isn't being moved.
         """
         return self._rows.change(host, transitions.cancel_move)
 
-    def begin_drain(
-        self, host: str, maintenance_id: str, side: SideWrite = NO_SIDE_WRITE
+    def start_drain(
+        self, host: str, maintenance_id: str, extra: ExtraWrite = NO_EXTRA_WRITE
     ) -> HostRow:
-        """
+        """Makes the host drain for maintenance.
+
+        :param maintenance_id: identifies the wave that the host drains for.
+        :param extra: checks and puts added to the transaction.
         :raises PoolOperationError: when the host isn't active.
-        :raises BudgetExceededError: when too many hosts of its pool are out.
+        :raises BudgetExceededError: when too many hosts of its pool are out of service.
         """
 
         def change(before: HostRecord) -> HostRecord:
-            is_begun = before["state"] == HostState.DRAINING
-            if is_begun and before["maintenance_id"] == maintenance_id:
+            is_draining = before["state"] == HostState.DRAINING
+            if is_draining and before["maintenance_id"] == maintenance_id:
                 return before
-            return transitions.begin_drain(before, maintenance_id)
+            return transitions.start_drain(before, maintenance_id)
 
-        row = self._rows.change(host, change, side)
-        self._note_sighting(row)
+        row = self._rows.change(host, change, extra)
+        self._observe(row)
         return row
 
     def mark_drained(
         self, host: str, acknowledgements: Acknowledgements | None = None
     ) -> HostRow:
-        """
+        """Records that the host is drained and may be rebooted.
+
         :param acknowledgements: as for :meth:`complete_move`.
         :raises HostBlockedError: when an entry host may still send requests to it.
-        :raises PoolOperationError: when the host doesn't drain for maintenance.
+        :raises PoolOperationError: when the host isn't draining for maintenance.
         """
         row = self._rows.read_known(host)
         if row.record["state"] == HostState.DRAINED:
@@ -229,7 +245,7 @@
         )
 
     def reboot(self, host: str) -> HostRow:
-        """Records that the host reboots; the caller then tells the platform.
+        """Records that the host reboots; the caller then has the platform reboot it.
 
         :raises PoolOperationError: when the host isn't drained.
         """
@@ -241,9 +257,13 @@
 
         return self._rows.change(host, change)
 
-    def return_to_service(self, host: str, side: SideWrite = NO_SIDE_WRITE) -> HostRow:
-        """
-        :raises PoolOperationError: when the host drains.
+    def return_to_service(
+        self, host: str, extra: ExtraWrite = NO_EXTRA_WRITE
+    ) -> HostRow:
+        """Makes a drained, rebooting or failed host active again.
+
+        :param extra: checks and puts added to the transaction.
+        :raises PoolOperationError: when the host is draining.
         """
 
         def change(before: HostRecord) -> HostRecord:
@@ -251,18 +271,23 @@
                 return before
             return transitions.return_to_service(before)
 
-        return self._rows.change(host, change, side)
+        return self._rows.change(host, change, extra)
+
+    def take_out_of_service(
+        self, host: str, extra: ExtraWrite = NO_EXTRA_WRITE
+    ) -> HostRow:
+        """Records that the host failed; it then counts against its pool's budget.
 
-    def take_out(self, host: str, side: SideWrite = NO_SIDE_WRITE) -> HostRow:
-        """Records that the host failed; it counts against its pool's budget."""
+        :param extra: checks and puts added to the transaction.
+        """
 
         def change(before: HostRecord) -> HostRecord:
             if before["state"] == HostState.OUT:
                 return before
-            return transitions.take_out(before)
+            return transitions.take_out_of_service(before)
 
-        row = self._rows.change(host, change, side)
-        self._note_sighting(row)
+        row = self._rows.change(host, change, extra)
+        self._observe(row)
         return row
 
     def _require_clear(
@@ -277,12 +302,12 @@
             message = f"host {row.record['host']!r} is blocked by {reasons}"
             raise HostBlockedError(message, clearance.blockers)
 
-    def _note_sighting(self, row: HostRow) -> _Sighting:
+    def _observe(self, row: HostRow) -> _Observation:
         host = row.record["host"]
-        known = self._sightings.get(host)
+        known = self._observations.get(host)
         if known is None or known.version != row.version:
-            known = _Sighting(row.version, self._clock.monotonic_s())
-            self._sightings[host] = known
+            known = _Observation(row.version, self._clock.monotonic_s())
+            self._observations[host] = known
         return known
 
 
--- a/src/sycamorecroft/pools/state.py
+++ b/src/sycamorecroft/pools/state.py
@@ -1,4 +1,4 @@
-"""Host records and the immutable view of all pools."""
+"""Records of hosts and entry hosts, and the immutable pool view."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -6,7 +6,7 @@
 
 
 class HostState(StrEnum):
-    """Lifecycle state of a host within its pool."""
+    """Lifecycle state of a host within its pool; ``OUT`` is a host that failed."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -16,7 +16,7 @@
 
 
 class HostRecord(TypedDict):
-    """Value of a row of table ``hosts``; the row is the only truth on the pool."""
+    """Value of a row of table ``hosts``, which alone determines the host's pool."""
 
     host: str
     address: str
@@ -38,11 +38,11 @@
     hosts: Mapping[str, HostRecord]
 
 
-class EntryRecord(TypedDict):
+class EntryHostRecord(TypedDict):
     """Value of a row of table ``entries``: registration of an entry host.
 
-    ``granted_hosts`` are workers on which this entry host holds or has issued grants
-    while they drain; a draining host is drained once no entry host names it.
+    ``granted_hosts`` are draining hosts on which this entry host holds or has issued
+    grants; a draining host counts as drained only once no entry host names it.
     """
 
     entry: str
--- a/src/sycamorecroft/pools/tests/test_controller.py
+++ b/src/sycamorecroft/pools/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The pool controller: registration, failed hosts and planned moves."""
+"""Tests of the pool controller: registration, failed hosts and moves."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 class _CrashError(BaseException):
-    """Ends a controller as a killed process would."""
+    """Simulates the kill of a controller's process."""
 
 
 @pytest.fixture
@@ -44,8 +44,8 @@
     return sorted(record["pool"] for record in fleet.host_records().values())
 
 
-def test_lasting_need_is_met_within_the_budgets(fleet: MemoryFleet) -> None:
-    """Guards against a pool that stays short while others have hosts to spare."""
+def test_sustained_need_is_met_within_the_budgets(fleet: MemoryFleet) -> None:
+    """Guards against a shortage that persists while other pools have a surplus."""
     controllers = [fleet.pool_controller("x"), fleet.pool_controller("y")]
     _run(fleet, controllers, 100, a=5.0, b=0.1, c=2.6)
     assert _pools(fleet).count("a") == 4
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("kind", ["crash", "lost response"])
 def test_fault_at_each_write(fleet: MemoryFleet, kind: str) -> None:
-    """Guards against a move that a crash or lost response leaves half done."""
+    """Guards against a crash or lost response that leaves a move half done."""
 
     def fail(number: int) -> None:
         if kind == "crash":
@@ -85,7 +85,7 @@
 
 
 def test_failed_host_is_taken_out_then_removed(fleet: MemoryFleet) -> None:
-    """Guards against a lost host that counts as capacity for ever."""
+    """Guards against a lost host that counts as capacity forever."""
     controller = fleet.pool_controller("x")
     _run(fleet, [controller], 5)
     fleet.declare_hosts(without=("a-0",))
@@ -99,8 +99,8 @@
     assert fleet.host_records()["a-0"]["pool"] == "a"
 
 
-def test_host_missing_for_a_moment_stays(fleet: MemoryFleet) -> None:
-    """Guards against hosts taken out by a gap in the platform's list."""
+def test_briefly_unlisted_host_stays_in_service(fleet: MemoryFleet) -> None:
+    """Guards against a gap in the host list that takes a host out of service."""
     controller = fleet.pool_controller("x")
     _run(fleet, [controller], 5)
     fleet.declare_hosts(without=("a-0",))
@@ -110,8 +110,8 @@
     assert fleet.host_records()["a-0"]["state"] == HostState.ACTIVE
 
 
-def test_list_that_cannot_be_had_proves_no_failure(fleet: MemoryFleet) -> None:
-    """Guards against all hosts taken out while the platform's list is down."""
+def test_unavailable_host_list_proves_no_failure(fleet: MemoryFleet) -> None:
+    """Guards against a host list outage that takes all hosts out of service."""
     controller = fleet.pool_controller("x")
     _run(fleet, [controller], 5)
     fleet.platform.hosts.faults.set_down()
@@ -120,8 +120,8 @@
     assert states == {HostState.ACTIVE}
 
 
-def test_list_without_most_hosts_takes_none_out(fleet: MemoryFleet) -> None:
-    """Guards against a whole fleet taken out by a host list that is wrong."""
+def test_implausible_host_list_is_ignored(fleet: MemoryFleet) -> None:
+    """Guards against a wrong host list that takes most hosts out of service."""
     controller = fleet.pool_controller("x")
     _run(fleet, [controller], 5)
     names = sorted(fleet.host_records())
@@ -149,11 +149,11 @@
 def test_operator_move_is_carried_out_beside_a_malformed_request(
     fleet: MemoryFleet,
 ) -> None:
-    """Guards against one malformed row that holds up all moves."""
+    """Guards against one malformed request that blocks all others."""
     controller = fleet.pool_controller("x")
     _run(fleet, [controller], 5)
-    bad = Put(MOVES_TABLE, "zz", b"{}")
-    fleet.tables.transact([], [bad], purpose=StorePurpose.OPERATORS)
+    malformed = Put(MOVES_TABLE, "zz", b"{}")
+    fleet.tables.transact([], [malformed], purpose=StorePurpose.OPERATORS)
     requests = MoveRequestStore(fleet.tables)
     requests.request("a-0", "c")
     _run(fleet, [controller], 20)
--- a/src/sycamorecroft/pools/tests/test_planning.py
+++ b/src/sycamorecroft/pools/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""Plans of the reserve and of moves."""
+"""Tests of the planning of the buffer and of moves."""
 
 from collections import Counter
 
@@ -6,9 +6,9 @@
 
 from sycamorecroft.pools.demand import DemandTracker, PoolNeed
 from sycamorecroft.pools.planning import (
-    BufferRequest,
+    BufferPlanInput,
     MovePlan,
-    MoveRequest,
+    MovePlanInput,
     PlacedHost,
     plan_buffer,
     plan_moves,
@@ -17,7 +17,7 @@
 from sycamorecroft.pools.state import HostRecord, HostState
 
 SEED = 20261204
-LONG_S = 3600.0
+SUSTAINED_S = 3600.0
 
 
 def _host(pool: str, number: int) -> HostRecord:
@@ -51,44 +51,49 @@
 ) -> MovePlan:
     fleet = hosts or [_host(pool, number) for pool in needs for number in range(8)]
     budgets = {pool: _budget(pool) for pool in needs}
-    return plan_moves(MoveRequest(tuple(fleet), budgets, needs))
+    return plan_moves(MovePlanInput(tuple(fleet), budgets, needs))
 
 
-def test_short_pool_takes_hosts_within_the_givers_budgets() -> None:
+def test_shortage_is_met_within_the_budgets_of_the_source_pools() -> None:
     """Guards against moves that take a pool below its availability budget."""
     needs = {
-        "a": PoolNeed(12, 12, LONG_S),
+        "a": PoolNeed(12, 12, SUSTAINED_S),
         "b": PoolNeed(1, 1, 0.0),
         "c": PoolNeed(1, 7, 0.0),
     }
     plan = _plan(needs)
-    givers = Counter(move.source_pool for move in plan.moves)
-    assert givers == {"b": 2, "c": 1}
-    assert plan.lacking_counts == {"a": 1}
+    source_counts = Counter(move.source_pool for move in plan.moves)
+    assert source_counts == {"b": 2, "c": 1}
+    assert plan.shortage_counts == {"a": 1}
 
 
-def test_need_of_seconds_moves_nothing() -> None:
+def test_brief_need_causes_no_move() -> None:
     """Guards against moves that cost more than they gain."""
     needs = {"a": PoolNeed(12, 12, 30.0), "b": PoolNeed(1, 1, 0.0)}
     assert _plan(needs).moves == ()
 
 
-def test_hosts_on_their_way_are_counted() -> None:
+def test_hosts_moving_to_a_pool_count_as_supply() -> None:
     """Guards against a second move for the same need."""
     hosts = [_host(pool, number) for pool in ("a", "b") for number in range(8)]
     hosts[8]["state"] = HostState.DRAINING
     hosts[8]["target_pool"] = "a"
-    needs = {"a": PoolNeed(9, 9, LONG_S), "b": PoolNeed(1, 1, 0.0)}
+    needs = {"a": PoolNeed(9, 9, SUSTAINED_S), "b": PoolNeed(1, 1, 0.0)}
     assert _plan(needs, hosts).moves == ()
 
 
-def test_unneeded_hosts_stay_where_they_are() -> None:
+def test_unneeded_hosts_stay_in_their_pool() -> None:
     """Guards against moves that serve no need."""
-    assert _plan({"a": PoolNeed(1, 1, LONG_S), "b": PoolNeed(8, 8, LONG_S)}).moves == ()
+    assert (
+        _plan(
+            {"a": PoolNeed(1, 1, SUSTAINED_S), "b": PoolNeed(8, 8, SUSTAINED_S)}
+        ).moves
+        == ()
+    )
 
 
-def test_pool_keeps_hosts_for_ten_minutes_after_a_need() -> None:
-    """Guards against a pool that gives a host up and takes it back."""
+def test_pool_keeps_hosts_for_ten_minutes_after_its_need_fell() -> None:
+    """Guards against a pool that releases a host and soon needs it again."""
     tracker = DemandTracker()
     for second in range(0, 120, 10):
         tracker.observe(7.0, float(second))
@@ -100,8 +105,8 @@
     assert tracker.need(8, 790.0).release_count == 1
 
 
-def test_peak_of_seconds_is_averaged() -> None:
-    """Guards against a plan that follows peaks that queueing absorbs."""
+def test_brief_peak_is_averaged() -> None:
+    """Guards against moves for peaks that queueing absorbs."""
     tracker = DemandTracker()
     for second in range(60):
         tracker.observe(10.0 if second >= 50 else 0.1, float(second))
@@ -122,21 +127,23 @@
 
 @seed(SEED)
 @given(_HOSTS, st.lists(st.integers(0, 4), min_size=3, max_size=3), st.integers(0, 1))
-def test_held_hosts_survive_any_rack(
+def test_allocated_hosts_survive_any_rack_failure(
     places: list[tuple[str, str]], needs: list[int], batch: int
 ) -> None:
-    """Guards against a reserve that a rack failure within a wave exhausts."""
+    """Guards against a buffer too small for a rack failure during a wave."""
     hosts = tuple(
         PlacedHost(f"h{number}", pool, rack)
         for number, (pool, rack) in enumerate(places)
     )
     pools = {f"p{number}": need for number, need in enumerate(needs)}
-    plan = plan_buffer(BufferRequest(hosts, pools, dict.fromkeys(pools, batch)))
-    held = [host for host in hosts if host.host in plan.held_hosts]
-    wanted_count = sum(needs) + 3 * batch
-    left_counts = [
-        sum(host.rack != rack for host in held)
+    plan = plan_buffer(BufferPlanInput(hosts, pools, dict.fromkeys(pools, batch)))
+    allocated = [host for host in hosts if host.host in plan.allocated_hosts]
+    required_count = sum(needs) + 3 * batch
+    surviving_counts = [
+        sum(host.rack != rack for host in allocated)
         for rack in {host.rack for host in hosts}
     ]
-    assert plan.missing_count == max(0, wanted_count - min(left_counts, default=0))
-    assert plan.missing_count == 0 or len(held) == len(hosts)
+    assert plan.missing_count == max(
+        0, required_count - min(surviving_counts, default=0)
+    )
+    assert plan.missing_count == 0 or len(allocated) == len(hosts)
--- a/src/sycamorecroft/pools/tests/test_registry.py
+++ b/src/sycamorecroft/pools/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Host operations under races, lost responses and pauses."""
+"""Tests of host operations under races, lost responses and pauses."""
 
 from collections.abc import Callable
 
@@ -33,12 +33,12 @@
 
 
 def _move(fleet: MemoryFleet, registry: PoolRegistry) -> None:
-    registry.begin_move("a-0", "b")
+    registry.start_move("a-0", "b")
     _wait_and_complete(fleet, registry, "a-0")
 
 
 def _maintain(fleet: MemoryFleet, registry: PoolRegistry) -> None:
-    registry.begin_drain("a-0", "wave")
+    registry.start_drain("a-0", "wave")
     for _ in range(7):
         fleet.tick()
     registry.mark_drained("a-0")
@@ -47,7 +47,7 @@
 
 
 def _replace(fleet: MemoryFleet, registry: PoolRegistry) -> None:
-    registry.take_out("a-0")
+    registry.take_out_of_service("a-0")
     for _ in range(7):
         fleet.tick()
     registry.remove_host("a-0")
@@ -61,21 +61,21 @@
     operations: Callable[[MemoryFleet, PoolRegistry], None],
     write: int,
 ) -> None:
-    """Guards against a step that is repeated or given up after a lost response."""
+    """Guards against an operation repeated or abandoned after a lost response."""
     expected = MemoryFleet(POOLS)
     operations(expected, expected.registry("x"))
 
-    def lose(number: int) -> None:
+    def lose_response(number: int) -> None:
         if number == write:
             raise StoreOutcomeUnknownError("lost")
 
-    tables = HookedTables(fleet.tables, after=lose)
+    tables = HookedTables(fleet.tables, after=lose_response)
     operations(fleet, fleet.registry("x", tables))
     fleet.check()
-    assert _without_tokens(fleet) == _without_tokens(expected)
+    assert _rows_without_tokens(fleet) == _rows_without_tokens(expected)
 
 
-def _without_tokens(fleet: MemoryFleet) -> dict[str, dict[str, object]]:
+def _rows_without_tokens(fleet: MemoryFleet) -> dict[str, dict[str, object]]:
     rows = {**fleet.host_records(), **fleet.budgets()}
     return {
         name: {key: value for key, value in row.items() if key != "token"}
@@ -84,7 +84,7 @@
 
 
 def test_two_controllers_race_a_move(fleet: MemoryFleet) -> None:
-    """Guards against a host that two holders send to different pools."""
+    """Guards against two lease holders that move a host to different pools."""
 
     def take_over(number: int) -> None:
         if number == 2:
@@ -92,21 +92,21 @@
             other.maintain()
             PoolRegistry(
                 fleet.tables, fleet.platform.hosts, other, fleet.clock
-            ).begin_drain("a-0", "wave")
+            ).start_drain("a-0", "wave")
 
     other = fleet.lease("pools", "other")
     tables = HookedTables(fleet.tables, before=take_over)
     registry = fleet.registry("first", tables)
     other.maintain()
     with pytest.raises(NotLeaseHolderError):
-        registry.begin_move("a-0", "b")
+        registry.start_move("a-0", "b")
     record = fleet.host_records()["a-0"]
     assert (record["maintenance_id"], record["target_pool"]) == ("wave", None)
     fleet.check()
 
 
-def test_frozen_mover_loses_when_it_wakes(fleet: MemoryFleet) -> None:
-    """Guards against a mover that completes a move another holder has cancelled."""
+def test_paused_controller_cannot_complete_a_move(fleet: MemoryFleet) -> None:
+    """Guards against a paused controller that acts after its lease was taken over."""
 
     def take_over(number: int) -> None:
         if number == 3:
@@ -117,7 +117,7 @@
     tables = HookedTables(fleet.tables, before=take_over)
     registry = fleet.registry("first", tables)
     other.maintain()
-    registry.begin_move("a-0", "b")
+    registry.start_move("a-0", "b")
     for _ in range(7):
         fleet.tick()
     with pytest.raises((NotLeaseHolderError, StoreConflictError)):
@@ -125,42 +125,42 @@
     assert fleet.host_records()["a-0"]["state"] == HostState.DRAINING
 
 
-def test_budget_is_spent_once_by_two_controllers(fleet: MemoryFleet) -> None:
-    """Guards against the pool and maintenance controllers spending one budget."""
+def test_two_controllers_share_one_budget(fleet: MemoryFleet) -> None:
+    """Guards against two controllers that each use the whole budget."""
     pools = fleet.registry("x")
     maintenance_lease = fleet.lease("maintenance", "x")
     maintenance_lease.maintain()
 
-    def spend(number: int) -> None:
+    def start_two_moves(number: int) -> None:
         if number == 1:
-            pools.begin_move("a-0", "b")
-            pools.begin_move("a-1", "b")
+            pools.start_move("a-0", "b")
+            pools.start_move("a-1", "b")
 
-    tables = HookedTables(fleet.tables, before=spend)
+    tables = HookedTables(fleet.tables, before=start_two_moves)
     registry = PoolRegistry(
         tables, fleet.platform.hosts, maintenance_lease, fleet.clock
     )
     with pytest.raises(BudgetExceededError):
-        registry.begin_drain("a-2", "wave")
+        registry.start_drain("a-2", "wave")
     fleet.check()
 
 
-def test_failed_hosts_spend_the_budget(fleet: MemoryFleet) -> None:
-    """Guards against planned work that adds to failures."""
+def test_failed_hosts_use_up_the_budget(fleet: MemoryFleet) -> None:
+    """Guards against planned work that adds to failures beyond the budget."""
     registry = fleet.registry("x")
-    registry.take_out("a-0")
-    registry.begin_drain("a-1", "wave")
+    registry.take_out_of_service("a-0")
+    registry.start_drain("a-1", "wave")
     with pytest.raises(BudgetExceededError, match="wait until a host returns"):
-        registry.begin_move("a-2", "b")
+        registry.start_move("a-2", "b")
     registry.return_to_service("a-0")
-    registry.begin_move("a-2", "b")
+    registry.start_move("a-2", "b")
 
 
-def test_entry_host_cut_off_blocks_by_name(fleet: MemoryFleet) -> None:
-    """Guards against a move past an entry host whose acknowledgement stays old."""
+def test_partitioned_entry_host_is_named_as_the_blocker(fleet: MemoryFleet) -> None:
+    """Guards against a move that ignores an entry host on an old view."""
     registry = fleet.registry("x")
     fleet.entries["entry1"].tables.faults.set_down()
-    registry.begin_move("a-0", "b")
+    registry.start_move("a-0", "b")
     with pytest.raises(HostBlockedError, match="entry1") as caught:
         _wait_and_complete(fleet, registry, "a-0")
     blocker = caught.value.blockers[0]
@@ -172,10 +172,10 @@
 
 
 def test_host_in_use_is_not_marked_as_drained(fleet: MemoryFleet) -> None:
-    """Guards against a reboot under a request in flight."""
+    """Guards against a reboot while a request to the host is in flight."""
     registry = fleet.registry("x")
     fleet.entries["entry1"].grant("a-0")
-    registry.begin_drain("a-0", "wave")
+    registry.start_drain("a-0", "wave")
     for _ in range(7):
         fleet.tick()
     with pytest.raises(HostBlockedError, match="grant_held"):
@@ -185,19 +185,19 @@
     assert registry.mark_drained("a-0").record["state"] == HostState.DRAINED
 
 
-def test_two_leases_race_on_a_host(fleet: MemoryFleet) -> None:
-    """Guards against a reboot written over a host that was taken out meanwhile."""
+def test_controllers_with_different_leases_race_on_a_host(fleet: MemoryFleet) -> None:
+    """Guards against a reboot that overwrites a failure recorded meanwhile."""
     pools = fleet.registry("x")
 
-    def take_out(number: int) -> None:
+    def take_out_of_service(number: int) -> None:
         if number == 3:
-            pools.take_out("a-0")
+            pools.take_out_of_service("a-0")
 
     lease = fleet.lease("maintenance", "x")
     lease.maintain()
-    tables = HookedTables(fleet.tables, before=take_out)
+    tables = HookedTables(fleet.tables, before=take_out_of_service)
     registry = PoolRegistry(tables, fleet.platform.hosts, lease, fleet.clock)
-    registry.begin_drain("a-0", "wave")
+    registry.start_drain("a-0", "wave")
     for _ in range(7):
         fleet.tick()
     registry.mark_drained("a-0")
@@ -207,17 +207,17 @@
 
 
 def test_older_view_of_a_peer_is_not_adopted(fleet: MemoryFleet) -> None:
-    """Guards against a view that falls back to before a move."""
+    """Guards against a view that reverts to before a move."""
     reader = fleet.entries["entry0"].reader
     old = reader.view
-    fleet.registry("x").begin_move("a-0", "b")
+    fleet.registry("x").start_move("a-0", "b")
     new = reader.refresh()
     assert reader.adopt(old) is new
     assert reader.view.hosts["a-0"]["state"] == HostState.DRAINING
 
 
-def test_new_entry_host_on_an_old_view_owns_nothing(fleet: MemoryFleet) -> None:
-    """Guards against a start that grants on a peer's view a move did not ask it for."""
+def test_new_entry_host_on_an_old_view_grants_nothing(fleet: MemoryFleet) -> None:
+    """Guards against grants on a peer's view that predates a completed move."""
     registry = fleet.registry("x")
     peer = fleet.entries["entry0"].reader
     new = MemoryEntryHost(fleet.tables, fleet.clock, "entry9", "entry9/1")
@@ -232,8 +232,8 @@
     fleet.check()
 
 
-def test_replaced_start_of_an_entry_host_must_stop(fleet: MemoryFleet) -> None:
-    """Guards against two starts that acknowledge in each other's name."""
+def test_replaced_incarnation_of_an_entry_host_must_stop(fleet: MemoryFleet) -> None:
+    """Guards against two incarnations that acknowledge for each other."""
     fleet.entries["entry0"].grant("a-0")
     MemoryEntryHost(fleet.tables, fleet.clock, "entry0", "entry0/2").step()
     old = fleet.entries["entry0"].registration
@@ -247,25 +247,25 @@
     row = registry.read_host("a-0")
     assert row is not None and "token" in row.record
     fleet.put_host_field("a-0", "kernel", "6.1")
-    registry.begin_move("a-0", "b")
+    registry.start_move("a-0", "b")
     assert fleet.host_records()["a-0"]["kernel"] == "6.1"
 
 
-def test_malformed_host_row_is_left_out_of_the_view(fleet: MemoryFleet) -> None:
-    """Guards against one bad row that stops all views."""
-    fleet.put_host_field("a-0", "state", "unheard")
+def test_malformed_host_row_is_omitted_from_the_view(fleet: MemoryFleet) -> None:
+    """Guards against one malformed row that blocks all view updates."""
+    fleet.put_host_field("a-0", "state", "unknown")
     reader = fleet.entries["entry0"].reader
     assert "a-0" not in reader.refresh().hosts
     assert reader.malformed_hosts == ("a-0",)
 
 
 def test_host_in_use_is_not_removed_or_registered_twice(fleet: MemoryFleet) -> None:
-    """Guards against a host that is in two pools by way of registration."""
+    """Guards against a host that is registered in two pools."""
     registry = fleet.registry("x")
-    with pytest.raises(PoolOperationError, match="take it out first"):
+    with pytest.raises(PoolOperationError, match="take it out of service first"):
         registry.remove_host("a-0")
     with pytest.raises(PoolOperationError, match="move it"):
         registry.register_host(fleet.workers[0]._replace(pool="b"))
-    registry.take_out("a-0")
+    registry.take_out_of_service("a-0")
     with pytest.raises(HostBlockedError):
         registry.remove_host("a-0")
--- a/src/sycamorecroft/pools/transitions.py
+++ b/src/sycamorecroft/pools/transitions.py
@@ -1,4 +1,4 @@
-"""Allowed changes of host records and what they do to pool budgets. Pure."""
+"""State transitions of hosts and their effect on pool budgets, as pure functions."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -14,14 +14,14 @@
 
 
 class BudgetDelta(NamedTuple):
-    """Change of a pool's counts by one host record."""
+    """Change of a pool's host counts."""
 
     hosts: int
     planned_out: int
     failed_out: int
 
 
-def begin_move(record: HostRecord, target_pool: str) -> HostRecord:
+def start_move(record: HostRecord, target_pool: str) -> HostRecord:
     """
     :raises PoolOperationError: when the host isn't active in another pool.
     """
@@ -39,7 +39,7 @@
     _require_state(record, "complete the move of", HostState.DRAINING)
     target_pool = record["target_pool"]
     if target_pool is None:
-        message = f"host {record['host']!r} drains for maintenance, not for a move"
+        message = f"host {record['host']!r} is draining for maintenance, not for a move"
         raise PoolOperationError(message)
     return _next(record, state=HostState.ACTIVE, pool=target_pool, target_pool=None)
 
@@ -50,12 +50,12 @@
     """
     _require_state(record, "cancel the move of", HostState.DRAINING)
     if record["target_pool"] is None:
-        message = f"host {record['host']!r} drains for maintenance, not for a move"
+        message = f"host {record['host']!r} is draining for maintenance, not for a move"
         raise PoolOperationError(message)
     return _next(record, state=HostState.ACTIVE, target_pool=None)
 
 
-def begin_drain(record: HostRecord, maintenance_id: str) -> HostRecord:
+def start_drain(record: HostRecord, maintenance_id: str) -> HostRecord:
     """
     :raises PoolOperationError: when the host isn't active.
     """
@@ -65,11 +65,11 @@
 
 def mark_drained(record: HostRecord) -> HostRecord:
     """
-    :raises PoolOperationError: when the host doesn't drain for maintenance.
+    :raises PoolOperationError: when the host isn't draining for maintenance.
     """
     _require_state(record, "mark as drained", HostState.DRAINING)
     if record["target_pool"] is not None:
-        message = f"host {record['host']!r} drains for a move, not for maintenance"
+        message = f"host {record['host']!r} is draining for a move, not for maintenance"
         raise PoolOperationError(message)
     return _next(record, state=HostState.DRAINED)
 
@@ -84,7 +84,7 @@
 
 def return_to_service(record: HostRecord) -> HostRecord:
     """
-    :raises PoolOperationError: when the host isn't drained, rebooting or out.
+    :raises PoolOperationError: when the host isn't drained, rebooting or ``out``.
     """
     _require_state(
         record,
@@ -96,11 +96,13 @@
     return _next(record, state=HostState.ACTIVE, maintenance_id=None)
 
 
-def take_out(record: HostRecord) -> HostRecord:
+def take_out_of_service(record: HostRecord) -> HostRecord:
     """
-    :raises PoolOperationError: when the host is out already.
+    :raises PoolOperationError: when the host's state is ``out`` already.
     """
-    _require_state(record, "take out", HostState.ACTIVE, *sorted(PLANNED_OUT_STATES))
+    _require_state(
+        record, "take out of service", HostState.ACTIVE, *sorted(PLANNED_OUT_STATES)
+    )
     return _next(record, state=HostState.OUT, target_pool=None, maintenance_id=None)
 
 
@@ -110,7 +112,7 @@
     """
     :param before: the record that is replaced, ``None`` for a new host.
     :param after: the new record, ``None`` for a removed host.
-    :returns: the change of counts of each pool that the change concerns.
+    :returns: the change of the counts of each affected pool.
     """
     deltas: dict[str, BudgetDelta] = {}
     for record, sign in ((before, -1), (after, 1)):
@@ -130,9 +132,9 @@
 def apply_delta(budget: BudgetRecord, delta: BudgetDelta) -> BudgetRecord:
     """
     :returns: the pool's budget after the change.
-    :raises BudgetExceededError: when the change takes more hosts out for planned
-        work, or removes a host, beyond what the budget allows. Failed hosts use up
-        the budget too, so no planned work adds to a failure.
+    :raises BudgetExceededError: when the change would take out more hosts for planned
+        work than the budget allows, or remove a host that it requires. Failed hosts
+        count too, so that planned work never adds to a failure beyond the budget.
     """
     after = budget.copy()
     after["hosts_count"] += delta.hosts
@@ -148,7 +150,7 @@
 
 def availability_of(budget: BudgetRecord) -> PoolAvailability:
     """
-    :returns: the pool's counts in the form that I1 checks.
+    :returns: the pool's counts as input of the check of invariant I1.
     """
     return PoolAvailability(
         budget["pool"],
--- a/src/sycamorecroft/pools/view.py
+++ b/src/sycamorecroft/pools/view.py
@@ -1,4 +1,4 @@
-"""Reader of the pool view."""
+"""Reader that builds the pool view from the host table or a peer."""
 
 from collections.abc import Mapping, Sequence
 from types import MappingProxyType
@@ -13,7 +13,8 @@
 class PoolViewReader:
     """Builds immutable pool views from scans of changed host rows.
 
-    A host whose row can't be decoded is left out of the view, so it gets no work.
+    A host whose row can't be decoded is omitted from the view, so that no requests are
+    routed to it.
     """
 
     def __init__(self, table: TableService) -> None:
@@ -23,32 +24,32 @@
 
     @property
     def view(self) -> PoolView:
-        """The newest view."""
+        """Newest view."""
         return self._view
 
     @property
     def malformed_hosts(self) -> tuple[str, ...]:
-        """Hosts whose rows can't be decoded, in order of name."""
+        """Hosts whose rows can't be decoded, sorted by name."""
         return tuple(sorted(self._malformed))
 
     def refresh(self) -> PoolView:
         """Reads the rows that changed since the view's version.
 
         :returns: the newest view.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :raises StoreUnavailableError: when the store could not be read.
         """
         scan = self._table.scan(
             HOSTS_TABLE, purpose=StorePurpose.VIEW, after_version=self._view.version
         )
         if scan.version <= self._view.version:
             return self._view
-        # Commit numbers also rise by writes to other tables.
-        hosts = self._changed(scan.rows) if scan.rows else self._view.hosts
+        # Writes to other tables raise the commit number too.
+        hosts = self._updated_hosts(scan.rows) if scan.rows else self._view.hosts
         self._replace(PoolView(scan.version, hosts))
         return self._view
 
     def adopt(self, view: PoolView) -> PoolView:
-        """Takes a peer's view if it is newer.
+        """Replaces the view with a peer's if that is newer.
 
         :returns: the newest view.
         """
@@ -60,7 +61,7 @@
         check_version_never_falls(self._view.version, view.version)
         self._view = view
 
-    def _changed(self, rows: Sequence[Row]) -> Mapping[str, HostRecord]:
+    def _updated_hosts(self, rows: Sequence[Row]) -> Mapping[str, HostRecord]:
         hosts = dict(self._view.hosts)
         for row in rows:
             self._apply(hosts, row)
--- a/src/sycamorecroft/pools/view_actor.py
+++ b/src/sycamorecroft/pools/view_actor.py
@@ -1,4 +1,4 @@
-"""Actor that keeps the pool view of one daemon up to date."""
+"""Actor that keeps the pool view of a daemon current, from the store or from peers."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Mapping
@@ -16,28 +16,28 @@
 
 
 class PollView(NamedTuple):
-    """Read the rows that changed."""
+    """Requests a read of the changed host rows."""
 
 
 class PeerViewVersions(NamedTuple):
-    """Versions of the last change that peers tell by gossip, by entry host."""
+    """Versions of the last host change that peers report by gossip, by entry host."""
 
     by_entry: Mapping[str, int]
 
 
 class ViewPeers(ABC):
-    """Peers from which a pool view can be had while the store is down."""
+    """Access to the pool views of peers, for when the store is unavailable."""
 
     @abstractmethod
     def fetch_view(self, entry: str) -> PoolView | None:
         """
-        :returns: the view of a peer, ``None`` if it doesn't answer in time.
+        :returns: the view of a peer, ``None`` if it doesn't answer before the timeout.
         """
 
 
 def encode_view(view: PoolView) -> bytes:
     """
-    :returns: JSON text of the host records, for a peer.
+    :returns: host records as JSON, to send to a peer.
     """
     return msgspec.json.encode(dict(view.hosts))
 
@@ -50,10 +50,12 @@
 
 
 class ViewActor(DaemonActor):
-    """Owner of the pool view reader.
+    """Refreshes and publishes the pool view.
 
-    :param view: holder that this actor publishes to.
-    :param listener: called in this actor with each view in which a host changed.
+    :param reader: used by this actor only.
+    :param view: published view, updated by this actor.
+    :param listener: called on this actor's thread with each view in which a host
+        changed.
     """
 
     def __init__(
@@ -73,10 +75,10 @@
 
     @property
     def changed_version(self) -> Published[int]:
-        """Version of the view in which a host changed last.
+        """Version of the newest view in which a host changed.
 
-        The version of a view rises with each commit to any table, so it can't tell
-        peers whether there is news.
+        Unlike the version of the view, which rises with each commit to any table, it
+        shows peers whether a host has changed.
         """
         return self._changed_version
 
@@ -97,10 +99,10 @@
             self._reader.refresh()
         except PlatformError as error:
             _log.info("view_store_unavailable", error=str(error))
-            self._poll_newest_peer()
+            self._adopt_newest_peer_view()
         self._publish()
 
-    def _poll_newest_peer(self) -> None:
+    def _adopt_newest_peer_view(self) -> None:
         versions = self._peer_versions
         newest = max(versions, key=lambda entry: versions[entry], default=None)
         if newest is None or versions[newest] <= self._reader.view.version:
@@ -111,10 +113,10 @@
 
     def _publish(self) -> None:
         view = self._reader.view
-        former = self._view.get()
-        if view.version <= former.version:
+        previous = self._view.get()
+        if view.version <= previous.version:
             return
         self._view.set(view)
-        if view.hosts != former.hosts:
+        if view.hosts != previous.hosts:
             self._changed_version.set(view.version)
             self._listener(view)
--- a/standins/memory_fleet.py
+++ b/standins/memory_fleet.py
@@ -23,7 +23,7 @@
     decode_budget,
     decode_host,
 )
-from sycamorecroft.pools.registration import EntryRegistration
+from sycamorecroft.pools.registration import EntryHostRegistration
 from sycamorecroft.pools.registry import NewHost, PoolRegistry
 from sycamorecroft.pools.state import HostRecord, HostState
 from sycamorecroft.pools.transitions import PLANNED_OUT_STATES, availability_of
@@ -81,7 +81,7 @@
         self.tables = tables.connect(_fault_switch(clock))
         self.reader = PoolViewReader(self.tables)
         self.grants: dict[str, str] = {}
-        self.registration = EntryRegistration(
+        self.registration = EntryHostRegistration(
             self.tables, clock, entry=name, incarnation=incarnation
         )
 
