--- a/src/sycamorecroft/claims/service.py
+++ b/src/sycamorecroft/claims/service.py
@@ -63,7 +63,7 @@
     InsertOutcome.UNAVAILABLE: _Refusal(
         "store_unavailable", "the table service can't be reached; repeat later"
     ),
-    InsertOutcome.BUDGET: _Refusal(
+    InsertOutcome.BUDGET_EXCEEDED: _Refusal(
         "store_budget", "the store budget for claims is used up; repeat later"
     ),
     InsertOutcome.EXPIRED: _Refusal(
@@ -107,7 +107,7 @@
             tables,
             clock,
             purpose=StorePurpose.CLAIMS,
-            late_commit=self._release_late,
+            on_late_commit=self._release_late,
             settings=settings.batch,
         )
 
--- a/src/sycamorecroft/claims/tests/test_claims.py
+++ b/src/sycamorecroft/claims/tests/test_claims.py
@@ -203,7 +203,7 @@
     rates = {StorePurpose.CLAIMS: StoreRate(10, 100)}
     clock = SystemClock()
     budget = StoreBudget(1.0, clock.monotonic_s(), rates=rates)
-    while budget.take(StorePurpose.CLAIMS, Operation.WRITE, clock.monotonic_s()):
+    while budget.try_acquire(StorePurpose.CLAIMS, Operation.WRITE, clock.monotonic_s()):
         pass
     guarded = GuardedTableService(
         store.tables, budget=budget, clock=clock, random_source=Random(1)
--- a/src/sycamorecroft/daemon/retention.py
+++ b/src/sycamorecroft/daemon/retention.py
@@ -34,6 +34,6 @@
         if now_s < self._idle_until_s:
             return 0
         removed_count = sum(sweep.step(self._clock.now()) for sweep in self._sweeps)
-        if not any(sweep.is_due for sweep in self._sweeps):
+        if not any(sweep.has_backlog for sweep in self._sweeps):
             self._idle_until_s = now_s + IDLE_INTERVAL_S
         return removed_count
--- a/src/sycamorecroft/jobs/store.py
+++ b/src/sycamorecroft/jobs/store.py
@@ -82,7 +82,7 @@
             tables,
             clock,
             purpose=StorePurpose.JOBS,
-            late_commit=lambda insert: None,
+            on_late_commit=lambda insert: None,
             settings=batch,
         )
 
@@ -106,7 +106,7 @@
         for _ in range(ATTEMPTS_MAX_COUNT):
             record = new_job(request, self._new_token(), self._clock.now())
             ended_check = Check(ENDED_TABLE, record["job_id"], None)
-            insert = Insert(job_puts(record), also_absent=(ended_check,))
+            insert = Insert(job_puts(record), additional_checks=(ended_check,))
             result = self._batcher.insert(insert, deadline_s=deadline_s)
             outcome = result.outcome
             if outcome is InsertOutcome.COMMITTED:
@@ -280,7 +280,7 @@
     """
     if outcome is InsertOutcome.EXPIRED or not is_known:
         raise _unknown("the deadline passed or the store refused the repetition")
-    if outcome is InsertOutcome.BUDGET:
+    if outcome is InsertOutcome.BUDGET_EXCEEDED:
         message = "the store budget for jobs is used up; repeat later"
         raise NotRunError("store_budget", message)
     message = "the table service can't be reached; repeat later"
--- a/src/sycamorecroft/node/node.py
+++ b/src/sycamorecroft/node/node.py
@@ -124,10 +124,10 @@
         record_contact = self._readiness.record_contact
         return PlatformTables(
             PlatformConnection(
-                address, adaptive_timeout=AdaptiveTimeout(), on_answer=record_contact
+                address, adaptive_timeout=AdaptiveTimeout(), on_response=record_contact
             ),
             PlatformConnection(
-                address, timeout_s=STORE_TIMEOUT_S, on_answer=record_contact
+                address, timeout_s=STORE_TIMEOUT_S, on_response=record_contact
             ),
         )
 
--- a/src/sycamorecroft/serving/job_store.py
+++ b/src/sycamorecroft/serving/job_store.py
@@ -77,7 +77,7 @@
     InsertOutcome.COMMITTED: SubmitOutcome.STORED,
     InsertOutcome.CONFLICT: SubmitOutcome.REPEATED,
     InsertOutcome.UNAVAILABLE: SubmitOutcome.NOT_STORED,
-    InsertOutcome.BUDGET: SubmitOutcome.NOT_STORED,
+    InsertOutcome.BUDGET_EXCEEDED: SubmitOutcome.NOT_STORED,
 }
 
 
@@ -153,7 +153,7 @@
                     TablePart(self._tables, part),
                     self._clock,
                     purpose=StorePurpose.JOBS,
-                    late_commit=_log_late_commit,
+                    on_late_commit=_log_late_commit,
                     settings=BatchSettings(window_s=BATCH_WINDOW_S),
                 )
                 batcher.start()
--- a/src/sycamorecroft/store/__init__.py
+++ b/src/sycamorecroft/store/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of the platform's services, the store budget and the circuit breaker."""
+"""Clients of the platform's services, with the store budget and the circuit breaker."""
 
 from sycamorecroft.store.backoff import Backoff
 from sycamorecroft.store.budget import StoreBudget
--- a/src/sycamorecroft/store/adaptive_timeout.py
+++ b/src/sycamorecroft/store/adaptive_timeout.py
@@ -1,36 +1,39 @@
-"""Timeout of calls that follows how long they take."""
+"""Call timeout that adapts to the observed response times."""
 
 import threading
 
 TIMEOUT_MIN_S = 0.5
 TIMEOUT_MAX_S = 2.0
-# A call is given up after this multiple of the longest recent call.
+# The timeout is this multiple of the longest recent response time.
 DURATION_FACTOR = 4.0
-# Share of the longest recent duration that is kept with each further call.
+# Factor by which the longest recent response time decays with each further call.
 DECAY_RATIO = 0.9
 
 
 class AdaptiveTimeout:
-    """Short while calls are fast, so that a lost answer costs little. Thread-safe."""
+    """Timeout proportional to the longest recent response time. Thread-safe.
+
+    It is short while calls are fast, so that a lost response delays the caller little.
+    """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._recent_s = 0.0
+        self._recent_max_s = 0.0
         self._timeout_s = TIMEOUT_MIN_S
 
     @property
     def timeout_s(self) -> float:
-        """Timeout of the next call."""
+        """Timeout of the next call in seconds."""
         return self._timeout_s
 
-    def record_answer(self, duration_s: float) -> None:
-        """Records how long an answered call took."""
+    def record_response(self, duration_s: float) -> None:
+        """Records the duration of a call that got a response."""
         with self._lock:
-            self._recent_s = max(duration_s, self._recent_s * DECAY_RATIO)
-            wanted_s = self._recent_s * DURATION_FACTOR
-            self._timeout_s = min(TIMEOUT_MAX_S, max(TIMEOUT_MIN_S, wanted_s))
+            self._recent_max_s = max(duration_s, self._recent_max_s * DECAY_RATIO)
+            target_s = self._recent_max_s * DURATION_FACTOR
+            self._timeout_s = min(TIMEOUT_MAX_S, max(TIMEOUT_MIN_S, target_s))
 
     def record_timeout(self) -> None:
-        """Records that a call got no answer in time."""
+        """Doubles the timeout, up to its maximum, after a call that timed out."""
         with self._lock:
             self._timeout_s = min(TIMEOUT_MAX_S, self._timeout_s * 2)
--- a/src/sycamorecroft/store/backoff.py
+++ b/src/sycamorecroft/store/backoff.py
@@ -1,17 +1,16 @@
 """Exponential backoff with full jitter.
 
-Source of the idea: M. Brooker, "Exponential Backoff And Jitter", AWS Architecture
-Blog, 2015.
+See M. Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog, 2015.
 """
 
 import random
 
 
 class Backoff:
-    """Delays of successive attempts. Not thread-safe.
+    """Generates the delays between successive attempts. Not thread-safe.
 
-    :param base_s: upper bound of the first delay.
-    :param cap_s: upper bound of all delays.
+    :param base_s: upper bound of the first delay in seconds.
+    :param cap_s: upper bound of all delays in seconds.
     :param random_source: source of the jitter.
     """
 
@@ -25,12 +24,13 @@
 
     def next_delay_s(self) -> float:
         """
-        :returns: a uniformly distributed delay; its upper bound doubles on each call.
+        :returns: a uniformly distributed delay in seconds; its upper bound doubles on
+            each call.
         """
         delay_s = self._random.uniform(0.0, self._bound_s)
         self._bound_s = min(self._cap_s, self._bound_s * 2)
         return delay_s
 
     def reset(self) -> None:
-        """Starts again at ``base_s``, after an attempt that succeeded."""
+        """Resets the upper bound to ``base_s``; called after a successful attempt."""
         self._bound_s = self._base_s
--- a/src/sycamorecroft/store/breaker.py
+++ b/src/sycamorecroft/store/breaker.py
@@ -4,39 +4,44 @@
 
 from sycamorecroft.store.backoff import Backoff
 
-FAILURES_TO_OPEN_COUNT = 5
+FAILURE_THRESHOLD_COUNT = 5
 
-# A trial call whose result never arrives must not keep the breaker open for ever. Calls
-# have a timeout of 1 s, so that a trial of this age has been abandoned.
+# A trial call whose result is never recorded must not keep the breaker half-open for
+# ever. Calls have a timeout of 1 s, so a trial call of this age has been abandoned.
 TRIAL_TIMEOUT_S = 5.0
 
 
 class BreakerState(StrEnum):
-    """``TRIAL``: one call is on its way, which decides whether the breaker closes."""
+    """State of the breaker.
+
+    ``HALF_OPEN``: one trial call is in flight, and decides whether the breaker closes.
+    """
 
     CLOSED = "closed"
     OPEN = "open"
-    TRIAL = "trial"
+    HALF_OPEN = "trial"
 
 
 class CircuitBreaker:
-    """Opens after consecutive failures; then lets single trial calls pass.
+    """Opens after consecutive failures; then allows one trial call at a time.
 
-    The delays between trials are random, so that the daemons don't all return at the
-    end of an outage at once. Not thread-safe.
+    The delays between trial calls are randomised, so that the daemons don't all call
+    at the same moment when an outage ends. Not thread-safe.
 
-    :param backoff: delays between trials.
+    :param backoff: delays between trial calls.
+    :param failure_threshold_count: consecutive failures after which the breaker opens.
+    :param trial_timeout_s: age in seconds at which a trial call counts as abandoned.
     """
 
     def __init__(
         self,
         backoff: Backoff,
         *,
-        failures_to_open_count: int = FAILURES_TO_OPEN_COUNT,
+        failure_threshold_count: int = FAILURE_THRESHOLD_COUNT,
         trial_timeout_s: float = TRIAL_TIMEOUT_S,
     ) -> None:
         self._backoff = backoff
-        self._failures_to_open_count = failures_to_open_count
+        self._failure_threshold_count = failure_threshold_count
         self._trial_timeout_s = trial_timeout_s
         self._failures_count = 0
         self._state = BreakerState.CLOSED
@@ -44,34 +49,34 @@
 
     @property
     def state(self) -> BreakerState:
-        """State after the last call."""
+        """State after the last recorded call."""
         return self._state
 
     def is_blocking(self, now_s: float) -> bool:
         """
-        :param now_s: monotonic time.
-        :returns: whether no call may be made now.
+        :param now_s: monotonic time in seconds.
+        :returns: whether calls are currently blocked.
         """
         return self._state is not BreakerState.CLOSED and now_s < self._retry_at_s
 
-    def begin(self, now_s: float) -> None:
-        """Records that a call is made; its result must be recorded afterwards."""
+    def record_start(self, now_s: float) -> None:
+        """Records the start of a call; its result must be recorded afterwards."""
         if self._state is not BreakerState.CLOSED:
-            self._state = BreakerState.TRIAL
+            self._state = BreakerState.HALF_OPEN
             self._retry_at_s = now_s + self._trial_timeout_s
 
     def record_success(self) -> None:
-        """Records that the platform answered, whatever the answer was."""
+        """Records that the platform responded, whatever the response was."""
         self._state = BreakerState.CLOSED
         self._failures_count = 0
         self._backoff.reset()
 
     def record_failure(self, now_s: float) -> None:
-        """Records that no answer arrived, or that the platform reported an outage."""
+        """Records that no response arrived, or that the platform reported an outage."""
         self._failures_count += 1
         if self._state is BreakerState.OPEN:
             return
-        is_trial = self._state is BreakerState.TRIAL
-        if is_trial or self._failures_count >= self._failures_to_open_count:
+        is_trial = self._state is BreakerState.HALF_OPEN
+        if is_trial or self._failures_count >= self._failure_threshold_count:
             self._state = BreakerState.OPEN
             self._retry_at_s = now_s + self._backoff.next_delay_s()
--- a/src/sycamorecroft/store/budget.py
+++ b/src/sycamorecroft/store/budget.py
@@ -1,4 +1,4 @@
-"""Budget of table service calls by purpose (section 5.5 of docs/design.md)."""
+"""Rate limits of table service calls by purpose (section 5.5 of docs/design.md)."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -7,16 +7,16 @@
 from sycamorecroft.store.calls import StoreOperation
 from sycamorecroft.store.interfaces import StorePurpose
 
-# A bucket holds the calls of this many seconds. All daemons together can then make at
-# most twice the budget in any one second, after a second without calls.
+# A bucket holds at most the tokens of this many seconds. All daemons together can then
+# make at most twice the budgeted calls in any one second, after a second without calls.
 BURST_S = 1.0
 
-# A bucket with a rate below one call a second must still hold one whole call.
+# A bucket with a rate below one call per second must still be able to hold one token.
 MIN_BURST_COUNT = 1.0
 
 
 class StoreRate(NamedTuple):
-    """Calls per second of the whole system; a transaction is one write."""
+    """Calls per second of the whole system; a transaction counts as one write."""
 
     writes_per_s: float
     reads_per_s: float
@@ -40,7 +40,8 @@
     """Token bucket that starts full. Not thread-safe.
 
     :param rate_per_s: tokens added per second; a rate of 0 never allows a call.
-    :param burst_count: largest number of tokens held.
+    :param burst_count: capacity of the bucket in tokens.
+    :param now_s: monotonic time in seconds.
     """
 
     def __init__(self, rate_per_s: float, burst_count: float, now_s: float) -> None:
@@ -49,10 +50,10 @@
         self._tokens_count = self._burst_count
         self._updated_s = now_s
 
-    def take(self, now_s: float) -> bool:
+    def try_acquire(self, now_s: float) -> bool:
         """
-        :param now_s: monotonic time.
-        :returns: whether a token was there and has been taken.
+        :param now_s: monotonic time in seconds.
+        :returns: whether a token was available; it has then been consumed.
         """
         elapsed_s = max(0.0, now_s - self._updated_s)
         self._updated_s += elapsed_s
@@ -66,13 +67,13 @@
 
 
 class StoreBudget:
-    """A daemon's share of the budget. Not thread-safe.
+    """A daemon's share of the store budget. Not thread-safe.
 
     :param share_ratio: the daemon's share of each purpose, e.g. 1/9.
-    :param shares: shares that differ from ``share_ratio``, e.g. 1.0 for a purpose whose
-        calls are all made by the one daemon that holds a controller lease.
+    :param shares: shares of purposes that differ from ``share_ratio``, e.g. 1.0 for a
+        purpose whose calls are all made by the daemon that holds a controller lease.
     :param rates: rates of the whole system.
-    :param now_s: monotonic time.
+    :param now_s: monotonic time in seconds.
     """
 
     def __init__(
@@ -86,20 +87,22 @@
         self._buckets: dict[tuple[StorePurpose, StoreOperation], TokenBucket] = {}
         for purpose, rate in rates.items():
             ratio = shares.get(purpose, share_ratio)
-            writes = _bucket(rate.writes_per_s * ratio, now_s)
-            reads = _bucket(rate.reads_per_s * ratio, now_s)
+            writes = _create_bucket(rate.writes_per_s * ratio, now_s)
+            reads = _create_bucket(rate.reads_per_s * ratio, now_s)
             self._buckets[purpose, StoreOperation.WRITE] = writes
             self._buckets[purpose, StoreOperation.READ] = reads
 
-    def take(
+    def try_acquire(
         self, purpose: StorePurpose, operation: StoreOperation, now_s: float
     ) -> bool:
         """
-        :returns: whether the call is within the budget; it is then counted.
+        :param now_s: monotonic time in seconds.
+        :returns: whether the call is within the budget; it has then been counted
+            against it.
         """
-        return self._buckets[purpose, operation].take(now_s)
+        return self._buckets[purpose, operation].try_acquire(now_s)
 
 
-def _bucket(rate_per_s: float, now_s: float) -> TokenBucket:
+def _create_bucket(rate_per_s: float, now_s: float) -> TokenBucket:
     burst_count = max(MIN_BURST_COUNT, rate_per_s * BURST_S)
     return TokenBucket(rate_per_s, burst_count, now_s)
--- a/src/sycamorecroft/store/calls.py
+++ b/src/sycamorecroft/store/calls.py
@@ -1,4 +1,4 @@
-"""Counts of calls to the platform by purpose, operation and outcome."""
+"""Counters of calls to the platform by purpose, operation and outcome."""
 
 import threading
 from collections import Counter
@@ -9,14 +9,18 @@
 
 
 class StoreOperation(StrEnum):
-    """Kind of a call, by whether it changes state."""
+    """Whether a call reads or changes state."""
 
     READ = "read"
     WRITE = "write"
 
 
 class CallOutcome(StrEnum):
-    """Outcome of a call; the last three were not sent to the platform."""
+    """Outcome of a call.
+
+    ``REJECTED``: the platform did not accept the request. ``BUDGET_EXCEEDED`` and
+    ``BREAKER_OPEN``: the call was not sent to the platform.
+    """
 
     OK = "ok"
     CONFLICT = "conflict"
@@ -28,7 +32,7 @@
 
 
 class CallKind(NamedTuple):
-    """Calls that are counted together."""
+    """Key of a counter."""
 
     purpose: StorePurpose
     operation: StoreOperation
@@ -43,20 +47,19 @@
 
 
 class CallCounters:
-    """Counters that only rise. Thread-safe."""
+    """Monotonic call counters. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._counts: Counter[CallKind] = Counter()
 
     def add(self, kind: CallKind) -> None:
-        """Counts one call."""
         with self._lock:
             self._counts[kind] += 1
 
     def snapshot(self) -> tuple[CallCount, ...]:
         """
-        :returns: counts of all kinds that occurred, ordered by kind.
+        :returns: counts of all kinds that have occurred, ordered by kind.
         """
         with self._lock:
             items = sorted(self._counts.items())
--- a/src/sycamorecroft/store/guarded.py
+++ b/src/sycamorecroft/store/guarded.py
@@ -34,24 +34,27 @@
 
 Result = TypeVar("Result")
 
-# Upper bounds of the delays between trial calls: after an outage each daemon returns
-# within 2 s (section 5.5 of docs/design.md).
+# Upper bounds of the delays between trial calls: each daemon resumes its calls within
+# 2 s of the end of an outage (section 5.5 of docs/design.md).
 TRIAL_DELAY_BASE_S = 0.25
 TRIAL_DELAY_CAP_S = 2.0
 
-_UNSENT = (CallOutcome.BUDGET_EXCEEDED, CallOutcome.BREAKER_OPEN)
-_FAILED = (CallOutcome.UNAVAILABLE, CallOutcome.OUTCOME_UNKNOWN)
+_UNSENT_OUTCOMES = (CallOutcome.BUDGET_EXCEEDED, CallOutcome.BREAKER_OPEN)
+_FAILED_OUTCOMES = (CallOutcome.UNAVAILABLE, CallOutcome.OUTCOME_UNKNOWN)
 
 
 class StoreHealth(NamedTuple):
-    """Contact with the store; ``contact_age_s`` is ``None`` before the first answer."""
+    """Health of the store as seen by this daemon.
+
+    ``contact_age_s`` is the age of the last response, ``None`` before the first one.
+    """
 
     state: BreakerState
     contact_age_s: float | None
 
 
 class GuardedTableService(TableService):
-    """Adds budget, breaker and counters to a table service. Thread-safe.
+    """Adds store budget, circuit breaker and counters to a table service. Thread-safe.
 
     :param tables: the service that makes the calls.
     :param budget: the daemon's share of the store budget.
@@ -73,22 +76,22 @@
         self._breaker = CircuitBreaker(backoff)
         self._counters = CallCounters()
         self._lock = threading.Lock()
-        self._contact_s: float | None = None
+        self._last_response_s: float | None = None
 
     def call_counts(self) -> tuple[CallCount, ...]:
         """
-        :returns: calls by purpose, operation and outcome since the start.
+        :returns: calls by purpose, operation and outcome since the process started.
         """
         return self._counters.snapshot()
 
     def health(self) -> StoreHealth:
         """
-        :returns: state of the breaker and age of the last answer in seconds.
+        :returns: state of the breaker and age of the last response in seconds.
         """
         with self._lock:
             now_s = self._clock.monotonic_s()
-            contact_s = self._contact_s
-            age_s = None if contact_s is None else now_s - contact_s
+            last_response_s = self._last_response_s
+            age_s = None if last_response_s is None else now_s - last_response_s
             return StoreHealth(self._breaker.state, age_s)
 
     def read(self, table: str, key: str, *, purpose: StorePurpose) -> Row | None:
@@ -138,35 +141,36 @@
     def _admit(self, purpose: StorePurpose, operation: StoreOperation) -> None:
         with self._lock:
             now_s = self._clock.monotonic_s()
-            # The breaker is asked before the budget is spent, and told only after it:
-            # a trial that the budget refuses would block further trials.
+            # The breaker is checked before a token of the budget is consumed, and the
+            # call is recorded only afterwards: a trial call that exceeds the budget
+            # would block further trial calls.
             if self._breaker.is_blocking(now_s):
                 raise _BreakerOpenError(
                     "the table service did not answer earlier calls; call again later"
                 )
-            if not self._budget.take(purpose, operation, now_s):
+            if not self._budget.try_acquire(purpose, operation, now_s):
                 message = (
-                    f"this daemon's share of {operation} calls for {purpose} is used "
-                    "up; call again later"
+                    f"this daemon's share of the store budget for {operation} calls "
+                    f"for {purpose} is exhausted; retry later"
                 )
                 raise StoreBudgetExceededError(message)
-            self._breaker.begin(now_s)
+            self._breaker.record_start(now_s)
 
     def _record(self, kind: CallKind) -> None:
         self._counters.add(kind)
-        if kind.outcome in _UNSENT:
+        if kind.outcome in _UNSENT_OUTCOMES:
             return
         with self._lock:
             now_s = self._clock.monotonic_s()
-            if kind.outcome in _FAILED:
+            if kind.outcome in _FAILED_OUTCOMES:
                 self._breaker.record_failure(now_s)
                 return
             self._breaker.record_success()
-            self._contact_s = now_s
+            self._last_response_s = now_s
 
 
 class _BreakerOpenError(StoreUnavailableError):
-    """The circuit breaker is open; the call was not made."""
+    """The circuit breaker is open; the call was not sent."""
 
 
 def _outcome_of(error: PlatformError) -> CallOutcome:
--- a/src/sycamorecroft/store/http_hosts.py
+++ b/src/sycamorecroft/store/http_hosts.py
@@ -1,4 +1,4 @@
-"""Clients of the platform's host list and host control."""
+"""HTTP clients of the platform's host list and host control."""
 
 import msgspec
 
@@ -19,7 +19,7 @@
     HostOperationBody,
     ListingBody,
     PhaseBody,
-    listing_from,
+    listing_from_body,
 )
 
 
@@ -31,7 +31,7 @@
 
     def list_hosts(self) -> HostListing:
         reply = self._connection.call(Method.GET, "/hosts")
-        return listing_from(decode_reply(reply, ListingBody))
+        return listing_from_body(decode_reply(reply, ListingBody))
 
 
 class HttpHostControl(HostControl):
--- a/src/sycamorecroft/store/http_objects.py
+++ b/src/sycamorecroft/store/http_objects.py
@@ -1,4 +1,4 @@
-"""Client of the object store."""
+"""HTTP client of the object store."""
 
 from sycamorecroft.errors import StoreOutcomeUnknownError, StoreUnavailableError
 from sycamorecroft.store.interfaces import ObjectStore
@@ -14,7 +14,8 @@
 class HttpObjectStore(ObjectStore):
     """Object store over HTTP. Thread-safe.
 
-    Writes are idempotent: one whose answer was lost counts as failed and is repeated.
+    Writes are idempotent, so a write whose response was lost is reported as failed and
+    can be retried.
     """
 
     def __init__(self, connection: PlatformConnection) -> None:
--- a/src/sycamorecroft/store/http_tables.py
+++ b/src/sycamorecroft/store/http_tables.py
@@ -1,4 +1,4 @@
-"""Client of the table service."""
+"""HTTP client of the table service."""
 
 from collections.abc import Sequence
 from urllib.parse import urlencode
@@ -27,8 +27,8 @@
     TransactionBody,
     check_body,
     put_body,
-    row_from,
-    scan_from,
+    row_from_body,
+    scan_from_body,
 )
 
 # The platform counts calls by this header; it has no effect on the result.
@@ -47,7 +47,7 @@
         reply = self._connection.call(Method.GET, path, headers=headers)
         if reply.status == STATUS_NOT_FOUND:
             return None
-        return row_from(decode_reply(reply, RowBody))
+        return row_from_body(decode_reply(reply, RowBody))
 
     def scan(
         self,
@@ -61,7 +61,7 @@
         path = f"/tables/{encode_segment(table)}?{query}"
         headers = {PURPOSE_HEADER: purpose}
         reply = self._connection.call(Method.GET, path, headers=headers)
-        return scan_from(decode_reply(reply, ScanBody))
+        return scan_from_body(decode_reply(reply, ScanBody))
 
     def transact(
         self, checks: Sequence[Check], puts: Sequence[Put], *, purpose: StorePurpose
--- a/src/sycamorecroft/store/http_tasks.py
+++ b/src/sycamorecroft/store/http_tasks.py
@@ -1,4 +1,4 @@
-"""Client of the platform's task service."""
+"""HTTP client of the platform's task service."""
 
 import msgspec
 
@@ -18,7 +18,7 @@
     TaskStatusBody,
     ThrottleBody,
     start_body,
-    status_from,
+    status_from_body,
 )
 
 
@@ -38,8 +38,8 @@
 
     def list_usage(self) -> tuple[TaskStatus, ...]:
         """
-        :returns: tasks of all workers.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :returns: status of the tasks of all workers.
+        :raises StoreUnavailableError: when no response arrived within the timeout.
         """
         return self._list("/usage")
 
@@ -47,7 +47,7 @@
         reply = self._connection.call(Method.GET, f"/tasks/{encode_segment(task_id)}")
         if reply.status == STATUS_NOT_FOUND:
             return None
-        return status_from(decode_reply(reply, TaskStatusBody))
+        return status_from_body(decode_reply(reply, TaskStatusBody))
 
     def renew(self, task_id: str, *, epoch: int, lease_s: float) -> None:
         self._change(task_id, "renew", RenewBody(epoch=epoch, lease_s=lease_s))
@@ -63,7 +63,7 @@
 
     def _list(self, path: str) -> tuple[TaskStatus, ...]:
         body = decode_reply(self._connection.call(Method.GET, path), TasksBody)
-        return tuple(status_from(item) for item in body["tasks"])
+        return tuple(status_from_body(item) for item in body["tasks"])
 
     def _change(
         self, task_id: str, action: str, body: RenewBody | ThrottleBody | EpochBody
--- a/src/sycamorecroft/store/insert_batcher.py
+++ b/src/sycamorecroft/store/insert_batcher.py
@@ -1,7 +1,7 @@
 """Batches conditional inserts of many threads into few transactions.
 
-Each insert keeps its own outcome: a batch that conflicts is halved until the
-conflicting inserts stand alone, so they don't fail the others.
+Each insert has its own outcome: a batch that conflicts is split in halves until the
+conflicting inserts are isolated, so they don't fail the others.
 """
 
 import json
@@ -26,30 +26,33 @@
 
 
 class InsertOutcome(StrEnum):
-    """What is known of an insert; only ``UNKNOWN`` may still take effect."""
+    """Outcome of an insert; one that is ``UNKNOWN`` may still take effect.
+
+    ``EXPIRED``: the deadline passed before the outcome was known.
+    """
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
     UNAVAILABLE = "unavailable"
-    BUDGET = "budget"
+    BUDGET_EXCEEDED = "budget"
     UNKNOWN = "unknown"
     EXPIRED = "expired"
 
 
 class Insert(NamedTuple):
-    """Rows to be written together if the row of the first put is absent.
+    """Rows to write together if the row of the first put is absent.
 
-    The value of the first put must be unique to the insert, since it is what tells
-    this insert from another after a lost response. ``also_absent`` are checks of
-    further rows.
+    The value of the first put must be unique to the insert, since it distinguishes
+    this insert from others when a lost response is resolved by reading the row back.
+    ``additional_checks`` are checks of further rows.
     """
 
     puts: tuple[Put, ...]
-    also_absent: tuple[Check, ...] = ()
+    additional_checks: tuple[Check, ...] = ()
 
 
 class InsertResult(NamedTuple):
-    """Outcome of an insert; ``version`` is the commit number if committed."""
+    """Outcome of an insert; ``version`` is the commit number, 0 if not committed."""
 
     outcome: InsertOutcome
     version: int = 0
@@ -58,8 +61,9 @@
 class BatchSettings(NamedTuple):
     """Limits of a batch.
 
-    ``window_s`` is how long an insert waits for company. ``budget_wait_s`` is how
-    long it waits, gathering more, while the store budget refuses the batch.
+    ``window_s`` is how long an insert waits for others to join its batch.
+    ``budget_wait_s`` is how long it waits while the batch exceeds the store budget;
+    the batch is retried, with further inserts added, every ``budget_retry_s``.
     """
 
     window_s: float = 0.005
@@ -69,17 +73,20 @@
 
 
 class _Pending:
-    """An insert on its way; ``result`` and ``abandoned`` are under the lock."""
+    """A queued or sent insert; the lock guards ``result`` and ``is_abandoned``.
+
+    ``is_abandoned``: its caller has stopped waiting.
+    """
 
-    def __init__(self, insert: Insert, arrived_s: float, deadline_s: float) -> None:
+    def __init__(self, insert: Insert, enqueued_s: float, deadline_s: float) -> None:
         self.insert = insert
-        self.arrived_s = arrived_s
+        self.enqueued_s = enqueued_s
         self.deadline_s = deadline_s
         self.result: InsertResult | None = None
-        self.abandoned = False
-        # One event for each insert: waking all waiting threads for each arrival and
-        # each result costs time that grows with the square of their number.
-        self.settled = Event()
+        self.is_abandoned = False
+        # Each insert has its own event: waking all waiting threads on each arrival and
+        # each result takes time quadratic in the number of threads.
+        self.resolved = Event()
 
     @property
     def row(self) -> tuple[str, str]:
@@ -88,7 +95,10 @@
 
 
 class InsertBatcher:
-    """Thread-safe; one worker thread sends the batches in order of arrival."""
+    """Sends inserts in batches from one worker thread, in order of arrival.
+
+    Thread-safe.
+    """
 
     def __init__(
         self,
@@ -96,56 +106,56 @@
         clock: Clock,
         *,
         purpose: StorePurpose,
-        late_commit: Callable[[Insert], None],
+        on_late_commit: Callable[[Insert], None],
         settings: BatchSettings = BatchSettings(),
     ) -> None:
         """
-        :param late_commit: told of an insert that has or may have taken effect after
-            its caller stopped waiting; must not block.
+        :param on_late_commit: called with an insert that has or may have taken effect
+            after its caller stopped waiting; must not block.
         """
         self._tables = tables
         self._clock = clock
         self._purpose = purpose
-        self._late_commit = late_commit
+        self._on_late_commit = on_late_commit
         self._settings = settings
-        self._changed = Condition()
+        self._queue_changed = Condition()
         self._queue: deque[_Pending] = deque()
         self._is_open = False
         self._thread = Thread(target=self._run, name="insert-batcher", daemon=True)
 
     def start(self) -> None:
-        """Starts the worker thread; called once."""
+        """Starts the worker thread; must be called once."""
         self._is_open = True
         self._thread.start()
 
     def close(self) -> None:
-        """Refuses new inserts; the thread sends the waiting ones and ends."""
-        with self._changed:
+        """Rejects new inserts; the worker thread sends the queued ones and ends."""
+        with self._queue_changed:
             self._is_open = False
-            self._changed.notify_all()
+            self._queue_changed.notify_all()
 
     def stop(self) -> None:
-        """Closes and waits for the thread."""
+        """Closes the batcher and waits until the worker thread has ended."""
         self.close()
         self._thread.join()
 
     def insert(self, insert: Insert, *, deadline_s: float) -> InsertResult:
-        """Waits for the outcome of an insert, at most until the deadline.
+        """Queues an insert and waits for its outcome, at most until the deadline.
 
-        :param deadline_s: monotonic time of the clock.
-        :returns: ``EXPIRED`` when the deadline passed first; an insert that takes
-            effect after that is passed to ``late_commit``.
+        :param deadline_s: monotonic time in seconds.
+        :returns: the outcome; ``EXPIRED`` when the deadline passed first. An insert
+            that takes effect after that is passed to ``on_late_commit``.
         """
         pending = _Pending(insert, self._clock.monotonic_s(), deadline_s)
-        with self._changed:
+        with self._queue_changed:
             if not self._is_open:
                 return InsertResult(InsertOutcome.UNAVAILABLE)
             self._queue.append(pending)
-            self._changed.notify()
-        pending.settled.wait(max(0.0, deadline_s - self._clock.monotonic_s()))
-        with self._changed:
+            self._queue_changed.notify()
+        pending.resolved.wait(max(0.0, deadline_s - self._clock.monotonic_s()))
+        with self._queue_changed:
             if pending.result is None:
-                pending.abandoned = True
+                pending.is_abandoned = True
                 return InsertResult(InsertOutcome.EXPIRED)
             return pending.result
 
@@ -158,36 +168,36 @@
                 self._send_within_budget(batch)
 
     def _next_batch(self) -> list[_Pending] | None:
-        with self._changed:
+        with self._queue_changed:
             while not self._queue and self._is_open:
-                self._changed.wait()
+                self._queue_changed.wait()
             if not self._queue:
                 return None
             self._wait_for_batch()
-            return self._take([])
+            return self._fill_batch([])
 
     def _wait_for_batch(self) -> None:
-        send_s = self._queue[0].arrived_s + self._settings.window_s
+        window_end_s = self._queue[0].enqueued_s + self._settings.window_s
         while self._is_open and len(self._queue) < self._settings.inserts_max_count:
-            remaining_s = send_s - self._clock.monotonic_s()
+            remaining_s = window_end_s - self._clock.monotonic_s()
             if remaining_s <= 0:
                 return
-            self._changed.wait(remaining_s)
+            self._queue_changed.wait(remaining_s)
 
-    def _take(self, batch: list[_Pending]) -> list[_Pending]:
-        """Adds waiting inserts to a batch; two for one row never share a batch."""
+    def _fill_batch(self, batch: list[_Pending]) -> list[_Pending]:
+        """Adds queued inserts to a batch; a batch holds at most one insert per row."""
         rows = {pending.row for pending in batch}
-        kept: list[_Pending] = []
+        deferred: list[_Pending] = []
         while self._queue and len(batch) < self._settings.inserts_max_count:
             pending = self._queue.popleft()
-            if pending.abandoned:
+            if pending.is_abandoned:
                 continue
             if pending.row in rows:
-                kept.append(pending)
+                deferred.append(pending)
                 continue
             rows.add(pending.row)
             batch.append(pending)
-        self._queue.extendleft(reversed(kept))
+        self._queue.extendleft(reversed(deferred))
         return batch
 
     def _send_within_budget(self, batch: list[_Pending]) -> None:
@@ -196,87 +206,88 @@
                 self._send(batch)
                 return
             except StoreBudgetExceededError:
-                batch = self._after_budget_refusal(batch)
+                batch = self._prepare_retry(batch)
                 if not batch:
                     return
 
-    def _after_budget_refusal(self, batch: list[_Pending]) -> list[_Pending]:
-        """Lets go of inserts that waited too long and gathers more for the rest."""
-        oldest_s = self._clock.monotonic_s() - self._settings.budget_wait_s
-        refused = [pending for pending in batch if pending.arrived_s <= oldest_s]
-        self._settle(refused, InsertResult(InsertOutcome.BUDGET))
-        with self._changed:
-            self._changed.wait_for(lambda: False, self._settings.budget_retry_s)
-            waiting = [
+    def _prepare_retry(self, batch: list[_Pending]) -> list[_Pending]:
+        """Fails inserts that have waited too long and adds queued ones to the rest."""
+        cutoff_s = self._clock.monotonic_s() - self._settings.budget_wait_s
+        timed_out = [pending for pending in batch if pending.enqueued_s <= cutoff_s]
+        self._resolve(timed_out, InsertResult(InsertOutcome.BUDGET_EXCEEDED))
+        with self._queue_changed:
+            self._queue_changed.wait_for(lambda: False, self._settings.budget_retry_s)
+            remaining = [
                 pending
                 for pending in batch
-                if pending.result is None and not pending.abandoned
+                if pending.result is None and not pending.is_abandoned
             ]
-            return self._take(waiting)
+            return self._fill_batch(remaining)
 
     def _send(self, batch: Sequence[_Pending]) -> None:
         """
-        :raises StoreBudgetExceededError: when nothing of the batch was sent.
+        :raises StoreBudgetExceededError: when the batch was not sent.
         """
         try:
             version = self._transact(batch)
         except StoreConflictError:
-            self._settle_conflict(batch)
+            self._resolve_conflict(batch)
         except StoreOutcomeUnknownError:
-            self._settle(batch, self._read_back(batch[0]))
+            self._resolve(batch, self._read_back(batch[0]))
         except StoreBudgetExceededError:
             raise
         except PlatformError:
-            self._settle(batch, InsertResult(InsertOutcome.UNAVAILABLE))
+            self._resolve(batch, InsertResult(InsertOutcome.UNAVAILABLE))
         except Exception:
-            # The worker thread must outlive any error, or all later inserts would
-            # expire. The error doesn't tell whether the transaction was sent.
+            # An error must not end the worker thread, or all later inserts would
+            # expire. It is not known whether the transaction was sent.
             _log.exception("insert_batch_failed", purpose=self._purpose)
-            self._settle(batch, InsertResult(InsertOutcome.UNKNOWN))
+            self._resolve(batch, InsertResult(InsertOutcome.UNKNOWN))
         else:
-            self._settle(batch, InsertResult(InsertOutcome.COMMITTED, version))
+            self._resolve(batch, InsertResult(InsertOutcome.COMMITTED, version))
 
     def _transact(self, batch: Sequence[_Pending]) -> int:
         checks = [Check(*pending.row, None) for pending in batch]
         for pending in batch:
-            checks.extend(pending.insert.also_absent)
+            checks.extend(pending.insert.additional_checks)
         puts = [put for pending in batch for put in pending.insert.puts]
         return self._tables.transact(checks, puts, purpose=self._purpose)
 
-    def _settle_conflict(self, batch: Sequence[_Pending]) -> None:
+    def _resolve_conflict(self, batch: Sequence[_Pending]) -> None:
         if len(batch) == 1:
-            self._settle(batch, InsertResult(InsertOutcome.CONFLICT))
+            self._resolve(batch, InsertResult(InsertOutcome.CONFLICT))
             return
-        middle = len(batch) // 2
-        for half in (batch[:middle], batch[middle:]):
+        midpoint = len(batch) // 2
+        for half in (batch[:midpoint], batch[midpoint:]):
             self._send_within_budget(list(half))
 
     def _read_back(self, pending: _Pending) -> InsertResult:
-        """Resolves a lost response: one row tells of the whole transaction.
+        """Resolves a lost response by reading one row of the transaction back.
 
-        An absent row proves nothing, since the write may still be on its way.
+        The transaction is atomic, so one row shows whether all were written. An absent
+        row is inconclusive, since the write may still be in flight.
         """
         table, key = pending.row
         try:
             row = self._tables.read(table, key, purpose=self._purpose)
         except PlatformError:
             row = None
-        own_value = pending.insert.puts[0].value
-        if row is not None and _is_same_json(row.value, own_value):
+        written_value = pending.insert.puts[0].value
+        if row is not None and _is_same_json(row.value, written_value):
             return InsertResult(InsertOutcome.COMMITTED, row.version)
         return InsertResult(InsertOutcome.UNKNOWN)
 
-    def _settle(self, batch: Sequence[_Pending], result: InsertResult) -> None:
-        late: list[_Pending] = []
-        with self._changed:
+    def _resolve(self, batch: Sequence[_Pending], result: InsertResult) -> None:
+        abandoned: list[_Pending] = []
+        with self._queue_changed:
             for pending in batch:
                 pending.result = result
-                pending.settled.set()
-                if pending.abandoned:
-                    late.append(pending)
+                pending.resolved.set()
+                if pending.is_abandoned:
+                    abandoned.append(pending)
         if result.outcome in (InsertOutcome.COMMITTED, InsertOutcome.UNKNOWN):
-            for pending in late:
-                self._late_commit(pending.insert)
+            for pending in abandoned:
+                self._on_late_commit(pending.insert)
 
 
 def _is_same_json(left: bytes | None, right: bytes | None) -> bool:
--- a/src/sycamorecroft/store/interfaces.py
+++ b/src/sycamorecroft/store/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces to the platform's services, independent of their transport."""
+"""Interfaces of the platform's services, independent of their transport."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -10,11 +10,11 @@
 class Row(NamedTuple):
     """A row of the table service.
 
-    ``part`` names the part of the table that holds the row. Rows of one transaction
-    share their part.
+    ``part`` is the name of the part (partition) of the table that holds the row. All
+    rows of one transaction belong to the same part.
     ``value`` is JSON text; ``None`` marks a deleted row in the result of a scan.
-    ``version`` is the number of the commit that wrote the row. Commit numbers rise
-    over the whole service.
+    ``version`` is the number of the commit that wrote the row. Commit numbers increase
+    across the whole service.
     """
 
     table: str
@@ -25,7 +25,7 @@
 
 
 class Check(NamedTuple):
-    """Condition of a transaction; ``version`` ``None`` means the row is absent."""
+    """Condition of a transaction: version of a row, ``None`` if it must be absent."""
 
     table: str
     key: str
@@ -45,8 +45,8 @@
 class Scan(NamedTuple):
     """Result of a scan; ``version`` is the commit number the scan reflects.
 
-    ``store_time_ms`` is the steady clock of the store when it answered, 0 where the
-    store has none.
+    ``store_time_ms`` is the reading of the store's monotonic clock when it responded, 0
+    if the store has none.
     """
 
     rows: tuple[Row, ...]
@@ -74,7 +74,7 @@
     def read(self, table: str, key: str, *, purpose: StorePurpose) -> Row | None:
         """
         :returns: the row, or ``None`` when it is absent.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :raises StoreUnavailableError: when no response arrived within the timeout.
         """
 
     @abstractmethod
@@ -87,26 +87,27 @@
         after_version: int = 0,
     ) -> Scan:
         """
-        :param after_version: only rows written or deleted after this commit number;
-            0 returns the live rows only.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :param after_version: returns only rows written or deleted after this commit
+            number; 0 returns the live rows only.
+        :raises StoreUnavailableError: when no response arrived within the timeout.
         """
 
     @abstractmethod
     def transact(
         self, checks: Sequence[Check], puts: Sequence[Put], *, purpose: StorePurpose
     ) -> int:
-        """Writes all of ``puts`` if all of ``checks`` hold, else nothing.
+        """Applies all of ``puts`` if all of ``checks`` hold, else none of them.
 
         :returns: the commit number, which is the version of each written row.
         :raises StoreConflictError: when a check failed; nothing was written.
         :raises StoreUnavailableError: when it is known that nothing was written.
-        :raises StoreOutcomeUnknownError: when the answer was lost; read back to know.
+        :raises StoreOutcomeUnknownError: when the response was lost; the outcome can be
+            learned by reading a row back.
         """
 
 
 class PartitionedTableService(TableService):
-    """Table service whose tables have parts and a feed of changes."""
+    """Table service whose tables are partitioned and have a change feed."""
 
     @abstractmethod
     def scan_part(
@@ -119,27 +120,29 @@
         end_key: str = "",
     ) -> Scan:
         """
-        :param first_key: first key of the range; empty for the first of the part.
-        :param end_key: key after the range; empty for no limit.
-        :returns: live rows of one part, by key.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :param first_key: first key of the range; empty for the start of the part.
+        :param end_key: exclusive end of the range; empty for no limit.
+        :returns: live rows of one part, ordered by key.
+        :raises StoreUnavailableError: when no response arrived within the timeout.
         """
 
     @abstractmethod
     def parts(self, table: str) -> tuple[str, ...]:
         """
         :returns: names of the parts of a table that hold rows.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :raises StoreUnavailableError: when no response arrived within the timeout.
         """
 
     @abstractmethod
     def changes(self, table: str, *, after_version: int, wait_s: float) -> Scan:
         """Waits for changes of a table.
 
+        :param wait_s: longest wait in seconds.
         :returns: rows written or deleted after the version, in order; no rows when
-            none changed within ``wait_s`` seconds.
-        :raises StoreHistoryLostError: when the store no longer knows all of them.
-        :raises StoreUnavailableError: when no answer was had in time.
+            none changed within ``wait_s``.
+        :raises StoreHistoryLostError: when the store no longer has all changes after
+            the version.
+        :raises StoreUnavailableError: when no response arrived within the timeout.
         """
 
 
@@ -167,7 +170,7 @@
 
 
 class HostStatus(StrEnum):
-    """Status of a host in the platform's list, which lags."""
+    """Status of a host in the platform's host list, which lags behind."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -181,7 +184,7 @@
 
 
 class PlatformHost(NamedTuple):
-    """An entry of the platform's host list. ``address`` is ``ip:port``."""
+    """A host of the platform's host list. ``address`` is ``ip:port``."""
 
     name: str
     role: HostRole
@@ -197,19 +200,19 @@
 
 
 class HostListing(NamedTuple):
-    """The platform's host list; hosts that are gone are absent."""
+    """The platform's host list as of a time; removed hosts are absent."""
 
     hosts: tuple[PlatformHost, ...]
     as_of: datetime
 
 
 class HostList(ABC):
-    """Lagging list of live and leaving hosts."""
+    """List of live and leaving hosts; it lags behind their state."""
 
     @abstractmethod
     def list_hosts(self) -> HostListing:
         """
-        :raises StoreUnavailableError: when the list can't be had.
+        :raises StoreUnavailableError: when the list can't be read.
         """
 
 
@@ -222,29 +225,29 @@
 
 
 class HostControl(ABC):
-    """Drains and reboots hosts. Both calls are idempotent for one operation id."""
+    """Drains and reboots hosts. Both calls are idempotent by operation id."""
 
     @abstractmethod
     def drain(self, host: str, *, operation_id: str) -> None:
         """
-        :raises PlatformError: when the call failed; it may be repeated.
+        :raises PlatformError: when the call failed; it can be retried.
         """
 
     @abstractmethod
     def reboot(self, host: str, *, operation_id: str) -> None:
         """
-        :raises PlatformError: when the call failed; it may be repeated.
+        :raises PlatformError: when the call failed; it can be retried.
         """
 
     @abstractmethod
     def phase(self, host: str) -> HostPhase:
         """
-        :raises PlatformError: when the phase can't be had.
+        :raises PlatformError: when the phase can't be read.
         """
 
 
 class TaskSize(NamedTuple):
-    """Size of a task: declared, or observed in usage reports."""
+    """Resources of a task: as declared, or as observed in usage reports."""
 
     processors_count: float
     memory_bytes: int
@@ -252,21 +255,21 @@
 
 
 class TaskState(StrEnum):
-    """State of a task by the platform's word."""
+    """State of a task as the platform reports it."""
 
     RUNNING = "running"
     THROTTLED = "throttled"
     SUCCEEDED = "succeeded"
     FAILED = "failed"
     STOPPED = "stopped"
-    LEASE_LAPSED = "lease_lapsed"
+    LEASE_EXPIRED = "lease_lapsed"
 
 
 class TaskStart(NamedTuple):
     """Request to start a task. ``task_id`` makes the start idempotent.
 
-    ``epoch`` is the fencing token of the controller; the platform refuses a lower
-    epoch than the highest it has seen for ``fence``.
+    ``epoch`` is the fencing token of the controller; the platform rejects an epoch
+    lower than the highest it has seen for ``fence``.
     """
 
     task_id: str
@@ -280,7 +283,7 @@
 
 
 class TaskStatus(NamedTuple):
-    """A task as the platform reports it; ``usage`` lags."""
+    """A task as the platform reports it; ``usage`` lags behind."""
 
     task_id: str
     worker: str
@@ -296,16 +299,17 @@
     @abstractmethod
     def start(self, request: TaskStart) -> None:
         """
-        :raises StoreOutcomeUnknownError: when the answer was lost.
-        :raises NotLeaseHolderError: when a higher epoch has been seen.
-        :raises PlatformError: when the worker refused the task.
+        :raises StoreOutcomeUnknownError: when the response was lost.
+        :raises NotLeaseHolderError: when the platform has seen a higher epoch.
+        :raises PlatformError: when the worker rejected the task.
         """
 
     @abstractmethod
     def list_tasks(self, worker: str) -> tuple[TaskStatus, ...]:
         """
-        :returns: tasks of the worker, ended ones too until they are forgotten.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :returns: tasks of the worker, including ended ones that the platform still
+            remembers.
+        :raises StoreUnavailableError: when no response arrived within the timeout.
         """
 
     @abstractmethod
@@ -320,11 +324,11 @@
 
     @abstractmethod
     def checkpoint(self, task_id: str, *, epoch: int) -> None:
-        """Asks the task to write a checkpoint to the object store."""
+        """Requests that the task write a checkpoint to the object store."""
 
     @abstractmethod
     def throttle(self, task_id: str, *, epoch: int, ratio: float) -> None:
-        """Limits the task to ``ratio`` of its processors; 1.0 lifts the limit."""
+        """Limits the task to ``ratio`` of its processors; 1.0 removes the limit."""
 
     @abstractmethod
     def stop(self, task_id: str, *, epoch: int) -> None:
--- a/src/sycamorecroft/store/read_back.py
+++ b/src/sycamorecroft/store/read_back.py
@@ -1,4 +1,4 @@
-"""Resolution of transactions whose response was lost."""
+"""Resolves transactions whose response was lost by reading a row back."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -25,10 +25,10 @@
 
 
 class TokenRow(NamedTuple):
-    """A row whose JSON object names its writer in the field ``token``.
+    """A row whose JSON object identifies its writer by the field ``token``.
 
     The transaction must write the row and check its version, with a token that no other
-    attempt uses.
+    transaction uses.
     """
 
     table: str
@@ -37,14 +37,14 @@
 
 
 class ReadBackState(StrEnum):
-    """What a row says about an earlier transaction on it.
+    """What a row shows about an earlier transaction on it.
 
     ``APPLIED``: the row holds the token.
     ``OTHER_WRITER``: another writer changed the row, before or after the transaction.
-    The transaction can't take effect any more, unless it requires that the row is
-    absent and the row is deleted while the transaction is still on its way.
+    The transaction can no longer take effect, unless it requires that the row is absent
+    and the row is deleted while the transaction is still in flight.
     ``UNCHANGED``: the row is as the transaction requires it; the transaction may still
-    be on its way and take effect later.
+    be in flight and take effect later.
     """
 
     APPLIED = "applied"
@@ -53,7 +53,7 @@
 
 
 class ReadBack(NamedTuple):
-    """State, and the row as it was read."""
+    """Result of reading a row back; ``row`` is ``None`` if the row is absent."""
 
     state: ReadBackState
     row: Row | None
@@ -66,9 +66,10 @@
     *,
     purpose: StorePurpose,
 ) -> ReadBack:
-    """Reads a row to learn whether a transaction took effect.
+    """Reads a row back to determine whether a transaction took effect.
 
     :param checked_version: version that the transaction required of the row.
+    :returns: state of the transaction, and the row.
     :raises StoreUnavailableError: when the row can't be read.
     """
     row = tables.read(token_row.table, token_row.key, purpose=purpose)
@@ -93,22 +94,23 @@
 ) -> int:
     """Runs a transaction and resolves a lost response by reading a row back.
 
-    An unchanged row leaves open whether the transaction is still on its way, so that
-    the same transaction is sent again: its check lets only one of both take effect.
+    An unchanged row doesn't show whether the transaction is still in flight, so the
+    same transaction is sent again: its version check lets only one of the two take
+    effect.
 
     :returns: the commit number.
-    :raises ValueError: when ``checks`` doesn't name the row of the token.
+    :raises ValueError: when ``checks`` does not include the token row.
     :raises StoreConflictError: when another writer changed the row.
     :raises StoreUnavailableError: when it is known that nothing was written.
-    :raises StoreOutcomeUnknownError: when the outcome could not be learned.
+    :raises StoreOutcomeUnknownError: when the outcome could not be determined.
     """
     checked_version = _checked_version(checks, token_row)
     for attempt in range(attempts_count):
         try:
             return tables.transact(checks, puts, purpose=purpose)
         except (StoreConflictError, StoreUnavailableError):
-            # Only the first attempt's answer tells the outcome of the whole: a later
-            # attempt may fail because an earlier one took effect.
+            # Such a failure is conclusive on the first attempt only: a later attempt
+            # may fail because an earlier one took effect.
             if attempt == 0:
                 raise
         except StoreOutcomeUnknownError:
@@ -117,8 +119,8 @@
         if version is not None:
             return version
     message = (
-        f"no answer to {attempts_count} attempts to write row "
-        f"{token_row.table}/{token_row.key}"
+        f"outcome unknown after {attempts_count} attempts without a response to write "
+        f"row {token_row.table}/{token_row.key}"
     )
     raise StoreOutcomeUnknownError(message)
 
@@ -133,12 +135,16 @@
         result = read_back(tables, token_row, checked_version, purpose=purpose)
     except StoreUnavailableError as error:
         raise StoreOutcomeUnknownError(
-            f"row {token_row.table}/{token_row.key} can't be read back: {error}"
+            f"row {token_row.table}/{token_row.key} can't be read back after a lost "
+            f"response: {error}"
         ) from error
     if result.state is ReadBackState.APPLIED:
         return result.row.version
     if result.state is ReadBackState.OTHER_WRITER:
-        message = f"row {token_row.table}/{token_row.key} has another writer"
+        message = (
+            f"row {token_row.table}/{token_row.key} was changed by another writer; "
+            "read it again"
+        )
         raise StoreConflictError(message)
     return None
 
@@ -147,7 +153,10 @@
     for check in checks:
         if (check.table, check.key) == (token_row.table, token_row.key):
             return check.version
-    message = f"checks must name row {token_row.table}/{token_row.key} of the token"
+    message = (
+        f"checks don't include the token row {token_row.table}/{token_row.key}; add a "
+        "check of its version"
+    )
     raise ValueError(message)
 
 
--- a/src/sycamorecroft/store/table_part.py
+++ b/src/sycamorecroft/store/table_part.py
@@ -1,4 +1,4 @@
-"""View of one part of the tables of a partitioned table service."""
+"""Access to one part, or to all parts, of the tables of a partitioned table service."""
 
 from collections.abc import Sequence
 from concurrent.futures import ThreadPoolExecutor
@@ -14,7 +14,7 @@
     TableService,
 )
 
-READERS_COUNT = 16
+PARALLEL_READS_COUNT = 16
 
 
 def read_all_parts(
@@ -23,24 +23,26 @@
     """
     :returns: rows of all parts of a table; changes after the scan's version may be
         missing from them.
-    :raises StoreUnavailableError: when no answer was had in time.
+    :raises StoreUnavailableError: when no response arrived within the timeout.
     """
-    first = tables.scan_part(table, "", purpose=purpose)
+    unpartitioned_scan = tables.scan_part(table, "", purpose=purpose)
     parts = [part for part in tables.parts(table) if part]
 
     def read(part: str) -> tuple[Row, ...]:
         return tables.scan_part(table, part, purpose=purpose).rows
 
-    # A slow store answers several reads at once as fast as one.
-    with ThreadPoolExecutor(READERS_COUNT) as pool:
-        found = tuple(pool.map(read, parts))
-    return first._replace(rows=first.rows + tuple(chain.from_iterable(found)))
+    # The latency of a slow store does not grow with the number of parallel reads.
+    with ThreadPoolExecutor(PARALLEL_READS_COUNT) as pool:
+        scanned_rows = tuple(pool.map(read, parts))
+    return unpartitioned_scan._replace(
+        rows=unpartitioned_scan.rows + tuple(chain.from_iterable(scanned_rows))
+    )
 
 
 class TablePart(TableService):
     """Table service that reads and writes one part of each table.
 
-    :param part: part that all rows lie in.
+    :param part: name of the part.
     """
 
     def __init__(self, tables: PartitionedTableService, part: str) -> None:
@@ -48,7 +50,8 @@
         self._part = part
 
     def read(self, table: str, key: str, *, purpose: StorePurpose) -> Row | None:
-        # A space sorts before all other printable characters.
+        # A space sorts before all other printable characters, so this range holds only
+        # the row with this key.
         scan = self._tables.scan_part(
             table, self._part, purpose=purpose, first_key=key, end_key=key + " "
         )
--- a/src/sycamorecroft/store/tests/test_adaptive_timeout.py
+++ b/src/sycamorecroft/store/tests/test_adaptive_timeout.py
@@ -1,4 +1,4 @@
-"""Tests of the timeout that follows the duration of calls."""
+"""Tests of the timeout that adapts to the response times of calls."""
 
 from sycamorecroft.store.adaptive_timeout import (
     TIMEOUT_MAX_S,
@@ -7,28 +7,28 @@
 )
 
 
-def test_lost_answer_of_a_fast_store_is_given_up_soon():
-    """Guards against two seconds of standstill for each lost answer."""
+def test_lost_response_of_a_fast_store_times_out_early():
+    """Guards against a delay of two seconds for each lost response."""
     timeout = AdaptiveTimeout()
     for _ in range(50):
-        timeout.record_answer(0.012)
+        timeout.record_response(0.012)
     assert timeout.timeout_s == TIMEOUT_MIN_S
 
 
-def test_slow_store_gets_the_time_it_needs():
-    """Guards against calls to a slow store that are all given up too early."""
+def test_timeout_grows_for_a_slow_store():
+    """Guards against a timeout so short that every call to a slow store fails."""
     timeout = AdaptiveTimeout()
     timeout.record_timeout()
     timeout.record_timeout()
     assert timeout.timeout_s == TIMEOUT_MAX_S
-    timeout.record_answer(1.1)
+    timeout.record_response(1.1)
     assert timeout.timeout_s == TIMEOUT_MAX_S
 
 
-def test_timeout_falls_again_after_a_slow_phase():
-    """Guards against long timeouts that outlast the reason for them."""
+def test_timeout_shrinks_after_a_slow_phase():
+    """Guards against a timeout that stays long after the store is fast again."""
     timeout = AdaptiveTimeout()
-    timeout.record_answer(1.1)
+    timeout.record_response(1.1)
     for _ in range(30):
-        timeout.record_answer(0.012)
+        timeout.record_response(0.012)
     assert timeout.timeout_s == TIMEOUT_MIN_S
--- a/src/sycamorecroft/store/tests/test_guarded.py
+++ b/src/sycamorecroft/store/tests/test_guarded.py
@@ -1,4 +1,4 @@
-"""Failures guarded against: a store overloaded by one purpose or after an outage."""
+"""Guards against a store overloaded by calls of one purpose or after an outage."""
 
 import random
 
@@ -15,7 +15,7 @@
 )
 from sycamorecroft.store import Backoff, GuardedTableService, StoreBudget
 from sycamorecroft.store.breaker import (
-    FAILURES_TO_OPEN_COUNT,
+    FAILURE_THRESHOLD_COUNT,
     BreakerState,
     CircuitBreaker,
 )
@@ -43,7 +43,7 @@
         self.guarded.read("t", "a", purpose=purpose)
 
     def open_breaker(self) -> None:
-        for _ in range(FAILURES_TO_OPEN_COUNT):
+        for _ in range(FAILURE_THRESHOLD_COUNT):
             with pytest.raises(StoreUnavailableError):
                 self.read()
 
@@ -52,13 +52,15 @@
 
 
 def test_system_rates_stay_within_the_platform_limits():
+    """Guards against a budget that exceeds the platform's rate limits."""
     rates = SYSTEM_RATES.values()
     assert set(SYSTEM_RATES) == set(StorePurpose)
     assert sum(rate.writes_per_s for rate in rates) < 300
     assert sum(rate.reads_per_s for rate in rates) < 1000
 
 
-def test_used_up_budget_of_one_purpose_leaves_the_others():
+def test_exhausted_budget_of_one_purpose_leaves_the_others_available():
+    """Guards against one purpose that consumes the budget of the others."""
     setup = _Setup(share_ratio=0.1)
     for _ in range(10):
         setup.read(CLAIMS)
@@ -70,7 +72,8 @@
     setup.read(CLAIMS)
 
 
-def test_long_run_rate_is_the_share_of_the_budget():
+def test_long_term_rate_equals_the_share_of_the_budget():
+    """Guards against a long-term rate above or below the daemon's share."""
     setup = _Setup(share_ratio=1 / 9)
     accepted_count = 0
     for _ in range(10_000):
@@ -80,25 +83,30 @@
             accepted_count += 1
         except StoreBudgetExceededError:
             continue
-    bound = 100 / 9 * 100 + 100 / 9
-    assert 0.99 * bound <= accepted_count <= bound
+    limit_count = 100 / 9 * 100 + 100 / 9
+    assert 0.99 * limit_count <= accepted_count <= limit_count
 
 
-def test_share_below_one_call_a_second_still_allows_calls():
+def test_share_below_one_call_per_second_still_allows_calls():
+    """Guards against a bucket too small to ever hold one token."""
     budget = StoreBudget(1 / 9, 0.0)
     registration = (StorePurpose.REGISTRATION, StoreOperation.WRITE)
-    assert [budget.take(*registration, 2.0 * step) for step in range(5)] == [True] * 5
-    assert not budget.take(StorePurpose.REGISTRATION, StoreOperation.READ, 99.0)
+    assert [budget.try_acquire(*registration, 2.0 * step) for step in range(5)] == [
+        True
+    ] * 5
+    assert not budget.try_acquire(StorePurpose.REGISTRATION, StoreOperation.READ, 99.0)
 
 
 def test_share_of_one_purpose_can_be_set():
+    """Guards against a purpose-specific share that is ignored."""
     shares = {StorePurpose.LEASES: 1.0}
     budget = StoreBudget(1 / 9, 0.0, shares=shares)
     leases = (StorePurpose.LEASES, StoreOperation.WRITE)
-    assert [budget.take(*leases, 0.0) for _ in range(6)] == [True] * 5 + [False]
+    assert [budget.try_acquire(*leases, 0.0) for _ in range(6)] == [True] * 5 + [False]
 
 
 def test_open_breaker_makes_no_calls_and_recovers():
+    """Guards against a store flooded during an outage, or unused after it."""
     setup = _Setup()
     setup.store.faults.set_down(duration_s=60)
     setup.open_breaker()
@@ -110,7 +118,8 @@
             setup.read()
         except StoreUnavailableError:
             continue
-    # Trials are 1 s apart on average once the delays have reached their cap of 2 s.
+    # Trial calls are 1 s apart on average once their delays have reached the cap of
+    # 2 s.
     assert 30 <= setup.sent_count() - sent_count <= 120
     setup.clock.advance(TRIAL_DELAY_CAP_S)
     setup.read()
@@ -118,19 +127,21 @@
 
 
 def test_lost_responses_open_the_breaker_and_conflicts_do_not():
+    """Guards against conflicts counted as failures of the store."""
     setup = _Setup()
-    for _ in range(FAILURES_TO_OPEN_COUNT + 1):
+    for _ in range(FAILURE_THRESHOLD_COUNT + 1):
         with pytest.raises(StoreConflictError):
             setup.guarded.transact([Check("t", "a", 1)], [], purpose=CLAIMS)
     assert setup.guarded.health().state is BreakerState.CLOSED
     setup.store.faults.lose_responses()
-    for _ in range(FAILURES_TO_OPEN_COUNT):
+    for _ in range(FAILURE_THRESHOLD_COUNT):
         with pytest.raises(StoreOutcomeUnknownError):
             setup.guarded.transact([], [], purpose=CLAIMS)
     assert setup.guarded.health().state is BreakerState.OPEN
 
 
-def test_call_refused_by_the_budget_does_not_spend_the_trial():
+def test_call_over_budget_does_not_consume_the_trial_call():
+    """Guards against a breaker blocked by a trial call that was never sent."""
     setup = _Setup()
     setup.store.faults.set_down()
     setup.open_breaker()
@@ -142,18 +153,20 @@
     assert setup.guarded.health().state is BreakerState.CLOSED
 
 
-def test_only_one_trial_passes_and_an_abandoned_one_expires():
+def test_only_one_trial_call_is_allowed_until_it_times_out():
+    """Guards against concurrent trial calls, and an abandoned one that blocks."""
     breaker = CircuitBreaker(
-        Backoff(1, 1, random.Random(1)), failures_to_open_count=1, trial_timeout_s=5
+        Backoff(1, 1, random.Random(1)), failure_threshold_count=1, trial_timeout_s=5
     )
     breaker.record_failure(0.0)
     assert not breaker.is_blocking(1.0)
-    breaker.begin(1.0)
+    breaker.record_start(1.0)
     assert breaker.is_blocking(5.9)
     assert not breaker.is_blocking(6.0)
 
 
 def test_calls_are_counted_by_purpose_and_outcome():
+    """Guards against calls counted under a wrong purpose or outcome."""
     setup = _Setup(share_ratio=1 / 60)
     setup.read()
     with pytest.raises(StoreBudgetExceededError):
@@ -169,11 +182,12 @@
 
 
 def test_backoff_has_full_jitter_up_to_its_cap():
+    """Guards against synchronised retries, and delays that exceed the cap."""
     backoff = Backoff(0.25, 2.0, random.Random(7))
     delays = [backoff.next_delay_s() for _ in range(500)]
     assert all(delay <= 0.25 * 2**index for index, delay in enumerate(delays[:4]))
     assert max(delays) <= 2.0
-    late = sorted(delays[4:])
-    assert late[0] < 0.1 and late[-1] > 1.9
+    capped_delays = sorted(delays[4:])
+    assert capped_delays[0] < 0.1 and capped_delays[-1] > 1.9
     backoff.reset()
     assert backoff.next_delay_s() <= 0.25
--- a/src/sycamorecroft/store/tests/test_insert_batcher.py
+++ b/src/sycamorecroft/store/tests/test_insert_batcher.py
@@ -1,4 +1,4 @@
-"""The batcher's worker thread outlives errors that no one foresaw."""
+"""Guards against a worker thread of the batcher that ends on an unexpected error."""
 
 from collections.abc import Sequence
 
@@ -20,8 +20,8 @@
 )
 
 
-class _FailingOnceTables(TableService):
-    """Raises an error outside the platform's hierarchy on the first transaction."""
+class _FailOnceTables(TableService):
+    """Raises an error that is no ``PlatformError`` on the first transaction."""
 
     def __init__(self) -> None:
         self._transactions_count = 0
@@ -44,19 +44,19 @@
     ) -> int:
         self._transactions_count += 1
         if self._transactions_count == 1:
-            raise RuntimeError("unforeseen")
+            raise RuntimeError("unexpected")
         return self._transactions_count
 
 
 @pytest.mark.filterwarnings("error::pytest.PytestUnhandledThreadExceptionWarning")
-def test_unforeseen_error_does_not_end_the_worker_thread():
-    """Guards against all later inserts expiring after one unforeseen error."""
+def test_unexpected_error_does_not_stop_the_worker_thread():
+    """Guards against all later inserts expiring after one unexpected error."""
     clock = SystemClock()
     batcher = InsertBatcher(
-        _FailingOnceTables(),
+        _FailOnceTables(),
         clock,
         purpose=StorePurpose.CLAIMS,
-        late_commit=lambda insert: None,
+        on_late_commit=lambda insert: None,
     )
     batcher.start()
     outcomes = [
--- a/src/sycamorecroft/store/transport.py
+++ b/src/sycamorecroft/store/transport.py
@@ -1,4 +1,7 @@
-"""HTTP calls to the platform and exact classification of their errors."""
+"""HTTP calls to the platform, and classification of their errors.
+
+An error tells whether the call is known not to have been applied.
+"""
 
 import time
 from collections.abc import Callable
@@ -37,10 +40,10 @@
 STATUS_NOT_FOUND = 404
 STATUS_CONFLICT = 409
 
-# The platform answers with these statuses before it does any work.
+# The platform responds with these statuses before it does any work.
 NOT_APPLIED_STATUSES = (429, 503)
 
-# Raised before the first byte of a request is sent.
+# Errors raised before the first byte of a request is sent.
 _UNSENT_ERRORS = (
     ClosedPoolError,
     ConnectTimeoutError,
@@ -50,7 +53,7 @@
 
 
 class Method(StrEnum):
-    """HTTP methods of the platform's interface."""
+    """HTTP methods used by the platform's API."""
 
     GET = "GET"
     PUT = "PUT"
@@ -59,7 +62,7 @@
 
 
 class Reply(NamedTuple):
-    """Complete answer with a status below 500; ``call`` names its request."""
+    """Complete response with a status below 500; ``call`` is its method and path."""
 
     call: str
     operation: StoreOperation
@@ -71,10 +74,11 @@
     """Connections to one address of the platform. Thread-safe.
 
     :param address: ``ip:port``.
-    :param timeout_s: limit of the wait for a connection, and for each part of an
-        answer.
+    :param timeout_s: limit in seconds of the wait for a connection, and of the wait for
+        each part of a response.
     :param adaptive_timeout: replaces ``timeout_s``.
-    :param on_answer: called for each answer that is no refusal for want of capacity.
+    :param on_response: called for each response that is neither an error of the
+        platform nor a refusal for lack of capacity.
     """
 
     def __init__(
@@ -83,14 +87,14 @@
         *,
         timeout_s: float = CALL_TIMEOUT_S,
         adaptive_timeout: AdaptiveTimeout | None = None,
-        on_answer: Callable[[], None] | None = None,
+        on_response: Callable[[], None] | None = None,
     ) -> None:
         host, _, port = address.rpartition(":")
         if not host or not port.isdecimal():
             message = f"platform address must be 'ip:port', got {address!r}"
             raise PlatformError(message)
         self._adaptive_timeout = adaptive_timeout
-        self._on_answer = on_answer
+        self._on_response = on_response
         self._timeout = urllib3.Timeout(total=timeout_s)
         self._pool = urllib3.HTTPConnectionPool(
             host,
@@ -114,9 +118,10 @@
         timeout_s: float | None = None,
     ) -> Reply:
         """
-        :param path: encoded path and query.
-        :param timeout_s: limit of this call; ``None`` for the connection's.
-        :returns: an answer that is no error of the platform's.
+        :param path: percent-encoded path and query.
+        :param timeout_s: timeout of this call in seconds; ``None`` for the
+            connection's timeout.
+        :returns: the response; its status is below 500.
         :raises StoreUnavailableError: when the call is known not to have been applied,
             or was a read.
         :raises StoreOutcomeUnknownError: when a write may have been applied.
@@ -125,7 +130,7 @@
             StoreOperation.READ if method is Method.GET else StoreOperation.WRITE
         )
         name = f"{method} {path}"
-        begin_s = time.monotonic()
+        started_s = time.monotonic()
         try:
             response = self._pool.urlopen(
                 method,
@@ -133,31 +138,37 @@
                 body=body,
                 headers=headers,
                 retries=False,
-                timeout=self._timeout_of(timeout_s),
+                timeout=self._call_timeout(timeout_s),
             )
         except _UNSENT_ERRORS as error:
             raise StoreUnavailableError(f"{name} was not sent: {error}") from error
         except HTTPError as error:
-            self._record_lost(error, timeout_s)
-            raise _lost(operation, f"{name} got no complete answer: {error}") from error
+            self._record_timeout(error, timeout_s)
+            raise _response_error(
+                operation, f"{name} got no complete response: {error}"
+            ) from error
         if self._adaptive_timeout is not None and timeout_s is None:
-            self._adaptive_timeout.record_answer(time.monotonic() - begin_s)
+            self._adaptive_timeout.record_response(time.monotonic() - started_s)
         if response.status in NOT_APPLIED_STATUSES:
-            raise StoreUnavailableError(f"{name} was refused: {response.status}")
+            raise StoreUnavailableError(
+                f"{name} was refused and can be retried: status {response.status}"
+            )
         if response.status >= 500:
-            raise _lost(operation, f"{name} failed with status {response.status}")
-        if self._on_answer is not None:
-            self._on_answer()
+            raise _response_error(
+                operation, f"{name} failed with status {response.status}"
+            )
+        if self._on_response is not None:
+            self._on_response()
         return Reply(name, operation, response.status, response.data)
 
-    def _timeout_of(self, timeout_s: float | None) -> urllib3.Timeout | float:
+    def _call_timeout(self, timeout_s: float | None) -> urllib3.Timeout | float:
         if timeout_s is not None:
             return timeout_s
         if self._adaptive_timeout is not None:
             return self._adaptive_timeout.timeout_s
         return self._timeout
 
-    def _record_lost(self, error: HTTPError, timeout_s: float | None) -> None:
+    def _record_timeout(self, error: HTTPError, timeout_s: float | None) -> None:
         is_adaptive = self._adaptive_timeout is not None and timeout_s is None
         if is_adaptive and isinstance(error, ReadTimeoutError):
             self._adaptive_timeout.record_timeout()
@@ -165,7 +176,7 @@
 
 def encode_segment(text: str) -> str:
     """
-    :returns: text as one segment of a path; slashes are encoded, too.
+    :returns: text percent-encoded as one path segment, slashes included.
     """
     return quote(text, safe="")
 
@@ -174,11 +185,14 @@
     """
     :raises NotLeaseHolderError: when the platform has seen a higher epoch.
     :raises StoreConflictError: when a check of a transaction failed.
-    :raises PlatformError: when the platform did not accept the request.
+    :raises PlatformError: when the platform rejected the request.
     """
     if reply.status == STATUS_OK:
         return reply
-    message = f"{reply.call}: {reply.status} {reply.body.decode(errors='replace')}"
+    message = (
+        f"{reply.call} failed with status {reply.status}: "
+        f"{reply.body.decode(errors='replace')}"
+    )
     if reply.status == STATUS_CONFLICT:
         raise StoreConflictError(message)
     if reply.status == STATUS_FORBIDDEN:
@@ -188,17 +202,19 @@
 
 def decode_reply(reply: Reply, message_type: type[Message]) -> Message:
     """
-    :returns: the body of a successful answer.
-    :raises StoreUnavailableError: when the answer to a read can't be decoded.
-    :raises StoreOutcomeUnknownError: when the answer to a write can't be decoded.
+    :returns: the decoded body of a successful response.
+    :raises StoreUnavailableError: when the response to a read can't be decoded.
+    :raises StoreOutcomeUnknownError: when the response to a write can't be decoded.
     """
     try:
         return msgspec.json.decode(require_ok(reply).body, type=message_type)
     except msgspec.DecodeError as error:
-        raise _lost(reply.operation, f"{reply.call}: {error}") from error
+        raise _response_error(
+            reply.operation, f"{reply.call} got a malformed response: {error}"
+        ) from error
 
 
-def _lost(operation: StoreOperation, message: str) -> PlatformError:
+def _response_error(operation: StoreOperation, message: str) -> PlatformError:
     if operation is StoreOperation.READ:
         return StoreUnavailableError(message)
     return StoreOutcomeUnknownError(message)
--- a/src/sycamorecroft/store/wire.py
+++ b/src/sycamorecroft/store/wire.py
@@ -1,4 +1,4 @@
-"""JSON messages of the platform's HTTP interface (section 7 of docs/design.md)."""
+"""JSON messages of the platform's HTTP API (section 7 of docs/design.md)."""
 
 from datetime import datetime
 from typing import TypedDict
@@ -29,7 +29,7 @@
 
 
 class PutBody(TypedDict):
-    """:class:`Put` as JSON; ``value`` is JSON text within a string."""
+    """:class:`Put` as JSON; ``value`` is JSON text as a string."""
 
     table: str
     key: str
@@ -44,7 +44,7 @@
 
 
 class CommitBody(TypedDict):
-    """Answer to ``POST /tables/transact``."""
+    """Response to ``POST /tables/transact``."""
 
     version: int
 
@@ -89,13 +89,13 @@
 
 
 class PhaseBody(TypedDict):
-    """Answer to ``GET /hosts/{host}``."""
+    """Response to ``GET /hosts/{host}``."""
 
     phase: HostPhase
 
 
 class HostOperationBody(TypedDict):
-    """Body of ``POST /hosts/{host}/drain`` and ``.../reboot``."""
+    """Body of ``POST /hosts/{host}/drain`` and ``POST /hosts/{host}/reboot``."""
 
     operation_id: str
 
@@ -109,7 +109,7 @@
 
 
 class TaskStartBody(TypedDict):
-    """:class:`TaskStart` as JSON; the worker is named in the path, too."""
+    """:class:`TaskStart` as JSON; the path names the worker, too."""
 
     task_id: str
     worker: str
@@ -133,7 +133,7 @@
 
 
 class TasksBody(TypedDict):
-    """Answer to ``GET /workers/{host}/tasks`` and ``GET /usage``."""
+    """Response to ``GET /workers/{host}/tasks`` and ``GET /usage``."""
 
     tasks: list[TaskStatusBody]
 
@@ -153,7 +153,7 @@
 
 
 class EpochBody(TypedDict):
-    """Body of ``POST /tasks/{id}/checkpoint`` and ``.../stop``."""
+    """Body of ``POST /tasks/{id}/checkpoint`` and ``POST /tasks/{id}/stop``."""
 
     epoch: int
 
@@ -163,7 +163,7 @@
     return PutBody(table=put.table, key=put.key, value=value)
 
 
-def put_from(body: PutBody) -> Put:
+def put_from_body(body: PutBody) -> Put:
     value = body["value"]
     return Put(body["table"], body["key"], None if value is None else value.encode())
 
@@ -172,7 +172,7 @@
     return CheckBody(table=check.table, key=check.key, version=check.version)
 
 
-def check_from(body: CheckBody) -> Check:
+def check_from_body(body: CheckBody) -> Check:
     return Check(body["table"], body["key"], body["version"])
 
 
@@ -181,7 +181,7 @@
     return RowBody(table=row.table, key=row.key, value=value, version=row.version)
 
 
-def row_from(body: RowBody) -> Row:
+def row_from_body(body: RowBody) -> Row:
     value = body["value"]
     encoded = None if value is None else value.encode()
     return Row(body["table"], body["key"], encoded, body["version"])
@@ -191,15 +191,15 @@
     return ScanBody(rows=[row_body(row) for row in scan.rows], version=scan.version)
 
 
-def scan_from(body: ScanBody) -> Scan:
-    return Scan(tuple(row_from(row) for row in body["rows"]), body["version"])
+def scan_from_body(body: ScanBody) -> Scan:
+    return Scan(tuple(row_from_body(row) for row in body["rows"]), body["version"])
 
 
 def host_body(host: PlatformHost) -> HostBody:
     return HostBody(**host._asdict())
 
 
-def host_from(body: HostBody) -> PlatformHost:
+def host_from_body(body: HostBody) -> PlatformHost:
     return PlatformHost(**body)
 
 
@@ -208,8 +208,10 @@
     return ListingBody(hosts=hosts, as_of=listing.as_of)
 
 
-def listing_from(body: ListingBody) -> HostListing:
-    return HostListing(tuple(host_from(host) for host in body["hosts"]), body["as_of"])
+def listing_from_body(body: ListingBody) -> HostListing:
+    return HostListing(
+        tuple(host_from_body(host) for host in body["hosts"]), body["as_of"]
+    )
 
 
 def size_body(size: TaskSize) -> SizeBody:
@@ -221,7 +223,7 @@
     return TaskStartBody(**fields)
 
 
-def start_from(body: TaskStartBody) -> TaskStart:
+def start_from_body(body: TaskStartBody) -> TaskStart:
     fields = dict(body) | {"size": TaskSize(**body["size"])}
     return TaskStart(**fields)
 
@@ -231,6 +233,6 @@
     return TaskStatusBody(**fields)
 
 
-def status_from(body: TaskStatusBody) -> TaskStatus:
+def status_from_body(body: TaskStatusBody) -> TaskStatus:
     fields = dict(body) | {"usage": TaskSize(**body["usage"])}
     return TaskStatus(**fields)
--- a/standins/memory_tasks.py
+++ b/standins/memory_tasks.py
@@ -84,7 +84,7 @@
         if finish_s <= min(now_s, self.lease_end_s):
             self.end(finish_s, self.plan.outcome, "ran to its end")
         elif self.lease_end_s <= now_s:
-            self.end(self.lease_end_s, TaskState.LEASE_LAPSED, "lease lapsed")
+            self.end(self.lease_end_s, TaskState.LEASE_EXPIRED, "lease lapsed")
 
     def end(self, time_s: float, state: TaskState, detail: str) -> None:
         self.state = state
--- a/standins/platform_application.py
+++ b/standins/platform_application.py
@@ -36,13 +36,13 @@
     TaskStartBody,
     ThrottleBody,
     TransactionBody,
-    check_from,
-    host_from,
+    check_from_body,
+    host_from_body,
     listing_body,
-    put_from,
+    put_from_body,
     row_body,
     scan_body,
-    start_from,
+    start_from_body,
     status_body,
 )
 
@@ -191,8 +191,8 @@
     def _transact(self, request: Request) -> Answer:
         body = request.decode(TransactionBody)
         version = self._platform.tables.transact(
-            [check_from(check) for check in body["checks"]],
-            [put_from(put) for put in body["puts"]],
+            [check_from_body(check) for check in body["checks"]],
+            [put_from_body(put) for put in body["puts"]],
             purpose=StorePurpose(request.purpose),
         )
         return Answer(200, CommitBody(version=version))
@@ -229,7 +229,7 @@
 
     def _declare_hosts(self, request: Request) -> Answer:
         body = request.decode(DeclarationBody)
-        self._platform.hosts.declare(host_from(host) for host in body["hosts"])
+        self._platform.hosts.declare(host_from_body(host) for host in body["hosts"])
         return OK
 
     def _drain(self, request: Request) -> Answer:
@@ -247,7 +247,7 @@
         return Answer(200, PhaseBody(phase=phase))
 
     def _start_task(self, request: Request) -> Answer:
-        start = start_from(request.decode(TaskStartBody))
+        start = start_from_body(request.decode(TaskStartBody))
         if start.worker != request.arguments[0]:
             message = (
                 f"path names worker {request.arguments[0]!r}, body {start.worker!r}"
--- a/tests/test_memory_platform.py
+++ b/tests/test_memory_platform.py
@@ -69,7 +69,7 @@
     clock.advance(9.9)
     assert platform.tasks.get("t1").state is TaskState.RUNNING
     clock.advance(0.1)
-    assert platform.tasks.get("t1").state is TaskState.LEASE_LAPSED
+    assert platform.tasks.get("t1").state is TaskState.LEASE_EXPIRED
     with pytest.raises(PlatformError, match="has ended"):
         platform.tasks.renew("t1", epoch=2, lease_s=10)
 
