--- a/src/sycamorecroft/configuration/__init__.py
+++ b/src/sycamorecroft/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Templates, compilation, publishing and the version in force."""
+"""Fleet configuration: templates, compilation, publishing, activation of versions."""
 
 from sycamorecroft.configuration.codec import (
     decode_configuration,
--- a/src/sycamorecroft/configuration/actor.py
+++ b/src/sycamorecroft/configuration/actor.py
@@ -1,4 +1,4 @@
-"""Actor that brings configuration versions into force on one daemon."""
+"""Actor that fetches configuration versions and puts them in force on one daemon."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Mapping
@@ -17,7 +17,11 @@
 
 
 class ConfigurationStatus(NamedTuple):
-    """What this daemon holds; ``in_force`` is ``None`` until it is ready."""
+    """Configurations held by this daemon.
+
+    ``in_force`` is ``None`` until the daemon is ready. ``staged_version`` is the
+    version that the daemon announces as staged, 0 for none.
+    """
 
     in_force: FleetConfiguration | None
     staged: FleetConfiguration | None
@@ -25,7 +29,7 @@
 
     @property
     def in_force_version(self) -> int:
-        """Version in force, 0 for none."""
+        """Version number of ``in_force``, 0 for none."""
         return self.in_force.version if self.in_force else 0
 
 
@@ -33,36 +37,37 @@
 
 
 class PollConfiguration(NamedTuple):
-    """Read the head of the store, or the peers while it can't be reached."""
+    """Message: read the head of the store, or ask the peers while it is unavailable."""
 
 
 class StagedVersions(NamedTuple):
-    """Staged versions that peers tell by gossip, by entry host."""
+    """Message: versions that peers announce as staged by gossip, by entry host."""
 
     by_entry: Mapping[str, int]
 
 
 class ConfigurationPeers(ABC):
-    """Peers from which a configuration can be had while the store is down."""
+    """Peers from which the configuration is fetched during a store outage."""
 
     @abstractmethod
     def names(self) -> tuple[str, ...]:
         """
-        :returns: names of all peers in the settings.
+        :returns: names of all peers listed in the settings.
         """
 
     @abstractmethod
-    def fetch(self, entry: str) -> PeerSnapshot | None:
+    def fetch(self, entry_host: str) -> PeerSnapshot | None:
         """
-        :returns: the snapshot of a peer, ``None`` if it doesn't answer in time.
+        :returns: snapshot of the peer, ``None`` if it does not respond before the
+            timeout or its configuration is malformed.
         """
 
 
 class ConfigurationActor(DaemonActor):
-    """Owner of the version gate.
+    """Owns the version gate.
 
-    :param status: holder that this actor publishes to.
-    :param listener: called in this actor with each configuration put in force.
+    :param status: publishes the status to other threads.
+    :param listener: called on this actor's thread with each configuration put in force.
     """
 
     def __init__(
@@ -113,8 +118,8 @@
         self._head_version = head_version
 
     def _poll_peers(self) -> None:
-        is_complete = self._gate.is_ready and self._gate.wanted_version is None
-        if is_complete:
+        is_up_to_date = self._gate.is_ready and self._gate.missing_version is None
+        if is_up_to_date:
             return
         snapshots = self._executor.map(self._peers.fetch, self._peers.names())
         for snapshot in snapshots:
@@ -122,9 +127,9 @@
                 self._apply(self._gate.record_snapshot(snapshot))
 
     def _record_staged_versions(self, by_entry: Mapping[str, int]) -> None:
-        for entry, staged_version in by_entry.items():
-            self._apply(self._gate.record_claim(entry, staged_version))
-        if self._gate.wanted_version is not None:
+        for entry_host, staged_version in by_entry.items():
+            self._apply(self._gate.record_claim(entry_host, staged_version))
+        if self._gate.missing_version is not None:
             self._poll()
 
     def _apply(self, in_force: FleetConfiguration | None) -> None:
--- a/src/sycamorecroft/configuration/codec.py
+++ b/src/sycamorecroft/configuration/codec.py
@@ -1,7 +1,7 @@
-"""JSON form of a fleet configuration, for table rows and peers' snapshots.
+"""JSON encoding of a fleet configuration, for table rows and peers' snapshots.
 
-Objects with named fields are written, so that a release can add a field while
-daemons of the release before still run; they ignore fields they don't know.
+Records are encoded as objects with named fields, so that a release can add a field
+while daemons of the previous release are running: they ignore unknown fields.
 """
 
 import hashlib
@@ -26,7 +26,7 @@
     """
     :returns: JSON text; equal configurations give equal texts.
     """
-    return _ENCODER.encode(_named(configuration))
+    return _ENCODER.encode(_to_objects(configuration))
 
 
 def decode_configuration(text: bytes) -> FleetConfiguration:
@@ -35,55 +35,55 @@
     """
     try:
         return msgspec.convert(
-            _positional(msgspec.json.decode(text)), FleetConfiguration
+            _to_arrays(msgspec.json.decode(text)), FleetConfiguration
         )
     except (msgspec.MsgspecError, KeyError, TypeError, AttributeError) as cause:
         message = (
             f"configuration of {len(text)} bytes can't be decoded ({cause!r}); "
-            "allowed is JSON written by encode_configuration; compile it again"
+            "expected JSON written by encode_configuration; compile it again"
         )
         raise ConfigurationError(message) from cause
 
 
 def digest_of(configuration: FleetConfiguration) -> str:
     """
-    :returns: SHA-256 of the content, the version left out.
+    :returns: SHA-256 of the content without the version, as hex digits.
     """
     content = encode_configuration(configuration._replace(version=0))
     return hashlib.sha256(content).hexdigest()
 
 
-def _named(value: Any) -> Any:
+def _to_objects(value: Any) -> Any:
     if hasattr(value, "_asdict"):
-        return {key: _named(item) for key, item in value._asdict().items()}
+        return {key: _to_objects(item) for key, item in value._asdict().items()}
     if isinstance(value, Mapping):
-        return {key: _named(item) for key, item in value.items()}
+        return {key: _to_objects(item) for key, item in value.items()}
     return value
 
 
-def _positional(raw: Any) -> list[Any]:
+def _to_arrays(raw: Any) -> list[Any]:
     accounts = {
-        name: _fields(
+        name: _to_array(
             AccountConfiguration,
-            {**account, "teams": _group(TeamConfiguration, account["teams"])},
+            {**account, "teams": _group_to_arrays(TeamConfiguration, account["teams"])},
         )
         for name, account in raw["accounts"].items()
     }
     return [
         raw["version"],
         accounts,
-        _group(PoolConfiguration, raw["pools"]),
-        _group(ServiceConfiguration, raw["services"]),
+        _group_to_arrays(PoolConfiguration, raw["pools"]),
+        _group_to_arrays(ServiceConfiguration, raw["services"]),
     ]
 
 
-def _group(kind: Any, raw: Mapping[str, Any]) -> dict[str, list[Any]]:
-    return {name: _fields(kind, item) for name, item in raw.items()}
+def _group_to_arrays(record_type: Any, raw: Mapping[str, Any]) -> dict[str, list[Any]]:
+    return {name: _to_array(record_type, item) for name, item in raw.items()}
 
 
-def _fields(kind: Any, raw: Mapping[str, Any]) -> list[Any]:
-    defaults = kind._field_defaults
+def _to_array(record_type: Any, raw: Mapping[str, Any]) -> list[Any]:
+    defaults = record_type._field_defaults
     return [
         raw[key] if key in raw or key not in defaults else defaults[key]
-        for key in kind._fields
+        for key in record_type._fields
     ]
--- a/src/sycamorecroft/configuration/compilation.py
+++ b/src/sycamorecroft/configuration/compilation.py
@@ -1,4 +1,4 @@
-"""Compiles a template and parameter files into a fleet configuration."""
+"""Compiles a template and parameter files into a validated fleet configuration."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any, TypeVar
@@ -13,8 +13,8 @@
 from sycamorecroft.configuration.parameters import (
     DeclaredParameter,
     declared_parameters,
-    fill_in,
     parameter_values,
+    substitute,
 )
 from sycamorecroft.configuration.template import (
     FleetBody,
@@ -27,7 +27,7 @@
     Template,
 )
 from sycamorecroft.errors import ConfigurationError
-from sycamorecroft.settings.document import DocumentPlace, convert
+from sycamorecroft.settings.document import DocumentLocation, convert
 
 Item = TypeVar("Item")
 
@@ -39,16 +39,18 @@
     inventory: HostInventory | None = None,
 ) -> FleetConfiguration:
     """
-    :param template: template of one kind of fleet.
-    :param parameter_files: one file for each client account.
-    :param version: version to give to the result.
-    :param inventory: hosts of the site; when given, pools must not need more.
+    :param template: template of a kind of fleet.
+    :param parameter_files: one file per client account.
+    :param version: version number of the result.
+    :param inventory: hosts of the site; if given, pools must not need more workers than
+        it has.
     :returns: the configuration of all client accounts.
-    :raises ConfigurationError: naming the file, the key's path, the value and the rule.
+    :raises ConfigurationError: if an input is not valid; the message names the file,
+        the path of the key, the value and the rule.
     """
     declared = declared_parameters(template)
     if not parameter_files:
-        message = f"{template.file}: no parameter file was named; name at least one"
+        message = f"{template.file}: got no parameter files; specify at least one"
         raise ConfigurationError(message)
     compiler = _Compiler(template, declared, inventory)
     for parameters in parameter_files:
@@ -59,7 +61,7 @@
 
 
 class _Compiler:
-    """Collects accounts, pools and services and refuses duplicate names."""
+    """Collects accounts, pools and services, and rejects duplicate names."""
 
     def __init__(
         self,
@@ -76,100 +78,106 @@
 
     def add_account(self, parameters: ParameterFile) -> None:
         """
-        :raises ConfigurationError: if the account is not valid or repeats a name.
+        :raises ConfigurationError: if the account is not valid or duplicates a name.
         """
-        root = DocumentPlace(parameters.file, "", ConfigurationError)
+        root = DocumentLocation(parameters.file, "", ConfigurationError)
         account = parameters.document.account
         if account in self.accounts:
-            raise root.at("account").failure(
-                account, "an account that no other file has", "merge the files"
+            raise root.at("account").invalid_value(
+                account, "an account that no other file defines", "merge the files"
             )
         if parameters.document.fleet != self._template.document.fleet:
-            raise root.at("fleet").failure(
+            raise root.at("fleet").invalid_value(
                 parameters.document.fleet,
                 f"{self._template.document.fleet}, the template's kind of fleet",
-                "name the template of this kind of fleet",
+                "use the template of this kind of fleet",
             )
         values = parameter_values(self._declared, parameters)
-        body_place = DocumentPlace(self._template.file, "body", ConfigurationError)
-        raw = fill_in(self._template.document.body, values, body_place)
-        # A value that breaks a rule may stem from either file, so both are named.
-        place = body_place._replace(path=f"body (with {parameters.file})")
-        self._add_body(account, convert(raw, FleetBody, place), place)
-
-    def _add_body(self, account: str, body: FleetBody, place: DocumentPlace) -> None:
-        _convert_names(body, place)
+        body_location = DocumentLocation(
+            self._template.file, "body", ConfigurationError
+        )
+        raw = substitute(self._template.document.body, values, body_location)
+        # An invalid value may come from either file, so the message names both.
+        location = body_location._replace(path=f"body (with {parameters.file})")
+        self._add_body(account, convert(raw, FleetBody, location), location)
+
+    def _add_body(
+        self, account: str, body: FleetBody, location: DocumentLocation
+    ) -> None:
+        _check_names(body, location)
         self.accounts[account] = AccountConfiguration(
             account,
             body.data_centres,
             body.availability_ratio,
-            _convert_items(body.teams, TeamBody, place.at("teams"), _team),
+            _convert_items(body.teams, TeamBody, location.at("teams"), _team),
         )
         pools = _convert_items(
             body.pools,
             PoolBody,
-            place.at("pools"),
+            location.at("pools"),
             lambda name, pool: _pool(name, account, pool),
         )
         services = _convert_items(
             body.services,
             ServiceBody,
-            place.at("services"),
+            location.at("services"),
             lambda name, service: _service(name, account, service),
         )
-        _check_spare(pools, place.at("pools"))
-        _check_services(services, pools, place.at("services"))
-        self._check_hosts(body, pools, place.at("pools"))
-        _add_all(self.pools, pools, place.at("pools"))
-        _add_all(self.services, services, place.at("services"))
+        _check_spare_pools(pools, location.at("pools"))
+        _check_services(services, pools, location.at("services"))
+        self._check_hosts(body, pools, location.at("pools"))
+        _add_all(self.pools, pools, location.at("pools"))
+        _add_all(self.services, services, location.at("services"))
 
     def _check_hosts(
         self,
         body: FleetBody,
         pools: Mapping[str, PoolConfiguration],
-        place: DocumentPlace,
+        location: DocumentLocation,
     ) -> None:
         if self._inventory is None:
             return
-        left_count = sum(
+        free_workers_count = sum(
             host.data_centre in body.data_centres for host in self._inventory.workers
         ) - sum(pool.hosts_count for pool in self.pools.values())
         for pool in pools.values():
-            if pool.hosts_count > left_count:
+            if pool.hosts_count > free_workers_count:
                 raise (
-                    place.at(pool.name)
+                    location.at(pool.name)
                     .at("hosts_count")
-                    .failure(
+                    .invalid_value(
                         pool.hosts_count,
-                        f"at most {left_count}, the workers in "
-                        f"{', '.join(body.data_centres)} that no other pool has",
-                        "lower hosts_count of this or another pool, or add workers",
+                        f"at most {free_workers_count}, the workers in "
+                        f"{', '.join(body.data_centres)} that no other pool uses",
+                        "reduce hosts_count of this or another pool, or add workers",
                     )
                 )
-            left_count -= pool.hosts_count
+            free_workers_count -= pool.hosts_count
 
 
-def _convert_names(body: FleetBody, place: DocumentPlace) -> None:
+def _check_names(body: FleetBody, location: DocumentLocation) -> None:
     groups = {"teams": body.teams, "pools": body.pools, "services": body.services}
     for key, names in groups.items():
         if not names:
-            raise place.at(key).failure({}, "at least one entry", "add one")
+            raise location.at(key).invalid_value(
+                {}, "at least one entry", "add an entry"
+            )
         for name in names:
-            convert(name, Name, place.at(key).at(name))
+            convert(name, Name, location.at(key).at(name))
     if len(set(body.data_centres)) < len(body.data_centres):
-        raise place.at("data_centres").failure(
-            body.data_centres, "each data centre once", "remove the repetition"
+        raise location.at("data_centres").invalid_value(
+            body.data_centres, "each data centre once", "remove the duplicate"
         )
 
 
 def _convert_items(
     raw: Mapping[str, Any],
-    kind: type[Any],
-    place: DocumentPlace,
-    build: Callable[[str, Any], Item],
+    body_type: type[Any],
+    location: DocumentLocation,
+    create: Callable[[str, Any], Item],
 ) -> dict[str, Item]:
     return {
-        name: build(name, convert(value, kind, place.at(name)))
+        name: create(name, convert(value, body_type, location.at(name)))
         for name, value in raw.items()
     }
 
@@ -197,16 +205,18 @@
     )
 
 
-def _check_spare(pools: Mapping[str, PoolConfiguration], place: DocumentPlace) -> None:
-    spares = [pool.name for pool in pools.values() if pool.is_spare]
-    if len(spares) > 1:
+def _check_spare_pools(
+    pools: Mapping[str, PoolConfiguration], location: DocumentLocation
+) -> None:
+    spare_pools = [pool.name for pool in pools.values() if pool.is_spare]
+    if len(spare_pools) > 1:
         raise (
-            place.at(spares[1])
+            location.at(spare_pools[1])
             .at("is_spare")
-            .failure(
+            .invalid_value(
                 True,
-                f"one spare pool for each account, which is {spares[0]}",
-                "set is_spare to false on all pools but one",
+                f"one spare pool per account, already {spare_pools[0]}",
+                "set is_spare to false on all pools except one",
             )
         )
 
@@ -214,34 +224,34 @@
 def _check_services(
     services: Mapping[str, ServiceConfiguration],
     pools: Mapping[str, PoolConfiguration],
-    place: DocumentPlace,
+    location: DocumentLocation,
 ) -> None:
-    taken: dict[str, str] = {}
+    service_by_pool: dict[str, str] = {}
     for service in services.values():
-        where = place.at(service.name).at("pool")
+        pool_location = location.at(service.name).at("pool")
         if service.pool not in pools:
-            raise where.failure(
+            raise pool_location.invalid_value(
                 service.pool,
                 "one of the account's pools " + ", ".join(pools),
                 "add the pool or correct the name",
             )
-        other = taken.setdefault(service.pool, service.name)
+        other = service_by_pool.setdefault(service.pool, service.name)
         if other != service.name:
-            raise where.failure(
+            raise pool_location.invalid_value(
                 service.pool,
-                f"a pool of its own; this one serves {other}",
+                f"a pool used by no other service; this one runs {other}",
                 "give each service its own pool",
             )
 
 
 def _add_all(
-    target: dict[str, Item], items: Mapping[str, Item], place: DocumentPlace
+    target: dict[str, Item], items: Mapping[str, Item], location: DocumentLocation
 ) -> None:
     for name, item in items.items():
         if name in target:
-            raise place.at(name).failure(
+            raise location.at(name).invalid_value(
                 name,
                 "a name that no other account uses",
-                "make the name unique, for instance by a prefix parameter",
+                "make the name unique, for example with a prefix parameter",
             )
         target[name] = item
--- a/src/sycamorecroft/configuration/difference.py
+++ b/src/sycamorecroft/configuration/difference.py
@@ -1,4 +1,4 @@
-"""What changes between two configurations, and what the change costs."""
+"""Difference between two configurations, and the host moves that it requires."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What happens to a part of the configuration."""
+    """Kind of change of an account, pool or service."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -18,7 +18,7 @@
 
 
 class FieldChange(NamedTuple):
-    """A field with its old and new value, as text."""
+    """A changed field with its old and new value as text."""
 
     field: str
     old: str
@@ -26,7 +26,10 @@
 
 
 class ItemChange(NamedTuple):
-    """A changed account, pool or service; ``fields`` only if it was changed."""
+    """Change of an account, pool or service.
+
+    ``fields`` is empty if the item was added or removed.
+    """
 
     name: str
     kind: ChangeKind
@@ -34,10 +37,10 @@
 
 
 class PoolMoves(NamedTuple):
-    """Hosts that a pool has by the host records, and needs.
+    """Number of hosts that a pool has according to the host records, and that it needs.
 
-    ``entering_count`` hosts must move into the pool, ``leaving_count`` are free to
-    leave it.
+    ``entering_count`` hosts must be moved into the pool, ``leaving_count`` hosts can be
+    moved out of it.
     """
 
     pool: str
@@ -48,7 +51,7 @@
 
 
 class BudgetChange(NamedTuple):
-    """Availability budget of a pool that allows fewer hosts out than before."""
+    """Reduced availability budget of a pool, as hosts that may be out of service."""
 
     pool: str
     old_hosts_count: int
@@ -56,7 +59,7 @@
 
 
 class BufferCost(NamedTuple):
-    """Hosts kept as spare capacity: those of spare pools, and those of no pool."""
+    """Number of hosts kept as spare capacity, in spare pools or without a pool."""
 
     old_hosts_count: int
     new_hosts_count: int
@@ -65,8 +68,9 @@
 class ConfigurationDifference(NamedTuple):
     """Difference of two configurations.
 
-    ``moves_count`` is the number of hosts that must move into another pool, or into a
-    pool at all. ``missing_hosts_count`` are hosts needed beyond those that exist.
+    ``moves_count`` is the number of existing hosts that must be moved into another
+    pool, or from no pool into one. ``missing_hosts_count`` is the number of hosts
+    needed in excess of the existing ones.
     """
 
     old_version: int
@@ -90,9 +94,9 @@
     hosts: Mapping[str, HostRecord],
 ) -> ConfigurationDifference:
     """
-    :param old: configuration to compare with, ``None`` if there is none yet.
-    :param hosts: host records by host, as in a pool view.
-    :returns: what changes from ``old`` to ``new``.
+    :param old: previous configuration, ``None`` if there is none.
+    :param hosts: host records by host name, as in a pool view.
+    :returns: the changes from ``old`` to ``new``.
     """
     old = old or EMPTY_CONFIGURATION
     present = Counter(record["pool"] for record in hosts.values())
@@ -176,7 +180,7 @@
 
 
 def _budget_hosts_count(pool: PoolConfiguration) -> int:
-    # The tolerance is that of check_availability_budget.
+    # The tolerance must equal the one of check_availability_budget.
     return int(pool.hosts_count * pool.max_unavailable_ratio + 1e-9)
 
 
--- a/src/sycamorecroft/configuration/fleet.py
+++ b/src/sycamorecroft/configuration/fleet.py
@@ -1,4 +1,4 @@
-"""Compiled configuration of a fleet: the form that daemons put in force."""
+"""Compiled configuration of a fleet, as daemons put it in force."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -28,10 +28,10 @@
 
 
 class ServiceConfiguration(NamedTuple):
-    """A service of one client account, which runs on exactly one pool.
+    """A service of one client account; it runs on exactly one pool.
 
-    ``refusal_statuses`` are the HTTP statuses by which the backend server guarantees
-    that it did no work.
+    ``refusal_statuses`` are the HTTP statuses with which the backend server guarantees
+    that it did no work for the request.
     """
 
     name: str
@@ -45,7 +45,7 @@
 
 
 class TeamConfiguration(NamedTuple):
-    """A team of a client account: its weight in fair queueing and its job quota."""
+    """A team of a client account: its weight in fair queueing and its slot quota."""
 
     name: str
     weight: float
@@ -53,7 +53,7 @@
 
 
 class AccountConfiguration(NamedTuple):
-    """A client account: its data centres, teams and availability promise."""
+    """A client account: its data centres, availability target and teams."""
 
     name: str
     data_centres: tuple[str, ...]
@@ -62,7 +62,7 @@
 
 
 class FleetConfiguration(NamedTuple):
-    """One version of the configuration; versions start at 1 and only rise."""
+    """A version of the configuration; version numbers start at 1 and only increase."""
 
     version: int
     accounts: Mapping[str, AccountConfiguration]
--- a/src/sycamorecroft/configuration/gate.py
+++ b/src/sycamorecroft/configuration/gate.py
@@ -1,30 +1,32 @@
-"""Decides which configuration version of a daemon is in force.
+"""Decides which configuration version is in force on a daemon.
 
-Pure: the caller reads the store and the peers and passes in what they answered.
+The gate does no I/O: the caller reads from the store and the peers and passes in their
+responses.
 
-A version is in force once a majority of the entry hosts has claimed it. Three rules
-keep it from falling when entry hosts restart, which lose all they hold (I8):
+A version is in force once a majority of the entry hosts has claimed it. Entry hosts
+lose all state when they restart. Three rules ensure that the version in force still
+never decreases (invariant I8):
 
 1. Only a process that has read the head from the store claims versions, in gossip and
-   in snapshots. An entry host that has ever claimed a version therefore holds it, or a
-   later one, whenever any process of it claims again: the head that the new process
-   read was at least as high. Claims then hold across restarts, and may arrive late,
-   twice or by way of others.
-2. A starting process first learns a bound that no version in force before its start
-   exceeds: the head of the store, or the highest claim in the answers of a majority of
-   the entry hosts. This majority shares an entry host with the one that claimed the
-   version in force.
-3. It puts nothing in force below the bound and, like any daemon, nothing that a
-   majority has not claimed. A version that it put in force without this majority could
-   be missing from the next majority that it asks.
-
-A process that started from peers must not claim: its predecessor may have claimed a
-later version, and daemons that heard of it would count the entry host twice. Source of
-the idea: E. Michael et al., "Recovering Shared Objects Without Stable Storage",
-DISC 2017, which attaches counts of crashes to messages instead.
+   in snapshots. Once an entry host has claimed a version, each later process of it that
+   claims holds this version or a higher one, since the head that it read was at least
+   as high. Claims therefore stay valid across restarts, and may arrive late, more than
+   once or by way of other entry hosts.
+2. A starting process first determines an upper bound of the versions that were in force
+   before its start: the head of the store, or the highest claim in the responses of a
+   majority of the entry hosts. This majority has an entry host in common with the
+   majority that claimed the version in force.
+3. It puts no version in force that is below the bound or, as for any daemon, that a
+   majority has not claimed. The next majority that it asks might not know of a version
+   that it had put in force without a majority.
+
+A process that started from the snapshots of peers must not claim: its predecessor may
+have claimed a later version, and daemons that know of that claim would count the entry
+host twice. Compare E. Michael et al., "Recovering Shared Objects Without Stable
+Storage", DISC 2017, which attaches crash counts to messages instead.
 
 The rules assume that reads of the store return the last commit, and that at most one
-process at a time serves the address that the settings name for an entry host.
+process at a time serves the address that the settings give for an entry host.
 """
 
 from collections.abc import Collection
@@ -33,20 +35,20 @@
 from sycamorecroft.configuration.fleet import FleetConfiguration
 from sycamorecroft.invariants import check_version_never_falls
 
-# Versions held at most; more pile up only while no majority claims any of them. A
+# Limit of staged versions. They accumulate only while no majority claims any of them. A
 # starting daemon may get a different version from each of nine entry hosts.
 STAGED_LIMIT_COUNT = 16
 
 
 class PeerSnapshot(NamedTuple):
-    """Answer of a peer to a snapshot request that this process sent.
+    """Response of a peer to a snapshot request of this process.
 
     ``claimed_version``, ``configuration`` and ``in_force_version`` are the peer's
     :attr:`VersionGate.claimed_version`, :attr:`VersionGate.staged` and
     :attr:`VersionGate.in_force_version`.
     """
 
-    entry: str
+    entry_host: str
     claimed_version: int
     configuration: FleetConfiguration | None
     in_force_version: int = 0
@@ -55,13 +57,13 @@
 class VersionGate:
     """Staged and in-force versions of one daemon (section 5.6 of docs/design.md).
 
-    :param entry: name of this entry host.
-    :param entries: names of all entry hosts in the settings.
+    :param entry_host: name of this entry host.
+    :param entry_hosts: names of all entry hosts in the settings.
     """
 
-    def __init__(self, entry: str, entries: Collection[str]) -> None:
-        self._entry = entry
-        self._entries = frozenset(entries) | {entry}
+    def __init__(self, entry_host: str, entry_hosts: Collection[str]) -> None:
+        self._entry_host = entry_host
+        self._entry_hosts = frozenset(entry_hosts) | {entry_host}
         self._staged: dict[int, FleetConfiguration] = {}
         self._in_force: FleetConfiguration | None = None
         self._claims: dict[str, int] = {}
@@ -72,22 +74,22 @@
 
     @property
     def majority_count(self) -> int:
-        """Entry hosts that are a majority of those in the settings."""
-        return len(self._entries) // 2 + 1
+        """Number of entry hosts that form a majority of those in the settings."""
+        return len(self._entry_hosts) // 2 + 1
 
     @property
     def staged(self) -> FleetConfiguration | None:
-        """The highest version that this daemon holds."""
+        """The highest version that this daemon holds, ``None`` if it holds none."""
         return self._staged[max(self._staged)] if self._staged else None
 
     @property
     def in_force(self) -> FleetConfiguration | None:
-        """The version by which this daemon serves, ``None`` until it is ready."""
+        """Configuration that serves requests, ``None`` until the daemon is ready."""
         return self._in_force
 
     @property
     def in_force_version(self) -> int:
-        """Version of :attr:`in_force`, 0 for none."""
+        """Version number of :attr:`in_force`, 0 for none."""
         return self._in_force.version if self._in_force else 0
 
     @property
@@ -104,17 +106,18 @@
         return self._in_force is not None
 
     @property
-    def wanted_version(self) -> int | None:
-        """Highest version that a peer has staged and this daemon lacks."""
+    def missing_version(self) -> int | None:
+        """Highest version claimed by a peer, if it is higher than those held here."""
         highest = max(self._claims.values(), default=0)
         return highest if highest > max(self._staged, default=0) else None
 
     def record_head(
         self, configuration: FleetConfiguration | None
     ) -> FleetConfiguration | None:
-        """Takes up the head of the store from a read that this process sent.
+        """Processes the head of the store, as read by this process.
 
-        :param configuration: content of the head, ``None`` if the store has none.
+        :param configuration: configuration at the head, ``None`` if unchanged or if the
+            store has none.
         :returns: the configuration that this puts in force, if any.
         """
         if configuration is not None:
@@ -124,36 +127,39 @@
         return self._advance()
 
     def record_snapshot(self, snapshot: PeerSnapshot) -> FleetConfiguration | None:
-        """Takes up a peer's answer to a snapshot request that this process sent.
+        """Processes a peer's response to a snapshot request of this process.
 
         :returns: the configuration that this puts in force, if any.
         """
-        if snapshot.entry not in self._entries or snapshot.entry == self._entry:
+        if (
+            snapshot.entry_host not in self._entry_hosts
+            or snapshot.entry_host == self._entry_host
+        ):
             return None
         if snapshot.configuration is not None:
             self._stage(snapshot.configuration)
         if snapshot.claimed_version > 0:
-            self._start_claims.setdefault(snapshot.entry, snapshot.claimed_version)
+            self._start_claims.setdefault(snapshot.entry_host, snapshot.claimed_version)
         if len(self._start_claims) >= self.majority_count:
-            # Each majority of answers gives a bound; this is the lowest of them.
+            # Each majority of responses gives a valid bound; this is the lowest one.
             claims = sorted(self._start_claims.values())
             self._lower_start_bound(claims[self.majority_count - 1])
         return self.record_claim(
-            snapshot.entry, snapshot.claimed_version, snapshot.in_force_version
+            snapshot.entry_host, snapshot.claimed_version, snapshot.in_force_version
         )
 
     def record_claim(
-        self, entry: str, claimed_version: int, in_force_version: int = 0
+        self, entry_host: str, claimed_version: int, in_force_version: int = 0
     ) -> FleetConfiguration | None:
-        """Takes up what a peer announces, in gossip or in its registration row.
+        """Processes the versions that a peer announces in gossip or its registration.
 
         :param claimed_version: version that the peer claims to hold.
         :param in_force_version: version in force at the peer, 0 for none.
         :returns: the configuration that this puts in force, if any.
         """
-        if entry in self._entries and entry != self._entry:
-            known = self._claims.get(entry, 0)
-            self._claims[entry] = max(known, claimed_version)
+        if entry_host in self._entry_hosts and entry_host != self._entry_host:
+            known = self._claims.get(entry_host, 0)
+            self._claims[entry_host] = max(known, claimed_version)
             self._in_force_elsewhere_version = max(
                 self._in_force_elsewhere_version, in_force_version
             )
@@ -192,8 +198,8 @@
         check_version_never_falls(self.in_force_version, version)
         self._in_force = self._staged[version]
         self._staged = {
-            held: configuration
-            for held, configuration in self._staged.items()
-            if held >= version
+            staged_version: configuration
+            for staged_version, configuration in self._staged.items()
+            if staged_version >= version
         }
         return self._in_force
--- a/src/sycamorecroft/configuration/parameters.py
+++ b/src/sycamorecroft/configuration/parameters.py
@@ -1,4 +1,4 @@
-"""Checks parameter values against their declarations and fills them in."""
+"""Checks parameter values against their declarations and substitutes them."""
 
 import re
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
     Template,
 )
 from sycamorecroft.errors import ConfigurationError
-from sycamorecroft.settings.document import DocumentPlace, convert
+from sycamorecroft.settings.document import DocumentLocation, convert
 
 _REFERENCE = re.compile(r"\$\{([^}]*)\}")
 _TYPES: Mapping[str, Any] = {
@@ -27,30 +27,30 @@
 
 
 class DeclaredParameter(NamedTuple):
-    """A declaration and its place in the template."""
+    """A declaration and its location in the template."""
 
     declaration: ParameterDeclaration
-    place: DocumentPlace
+    location: DocumentLocation
 
 
 def declared_parameters(template: Template) -> dict[str, DeclaredParameter]:
     """
     :returns: declarations of ``template`` by parameter name.
-    :raises ConfigurationError: if a declaration is malformed, its default is not
-        allowed by its own limits, or the body doesn't use it.
+    :raises ConfigurationError: if a declaration is malformed, its default violates its
+        own limits, or the body does not use it.
     """
-    root = DocumentPlace(template.file, "", ConfigurationError)
+    root = DocumentLocation(template.file, "", ConfigurationError)
     declared = {}
     for name, raw in template.document.parameters.items():
-        place = root.at("parameters").at(name)
-        declaration = convert(raw, ParameterDeclaration, place)
-        declared[name] = DeclaredParameter(declaration, place)
+        location = root.at("parameters").at(name)
+        declaration = convert(raw, ParameterDeclaration, location)
+        declared[name] = DeclaredParameter(declaration, location)
         if declaration.default is not msgspec.UNSET:
-            _check_value(declaration.default, declaration, place.at("default"))
+            _check_value(declaration.default, declaration, location.at("default"))
     used = _references(template.document.body)
-    for name, (_, place) in declared.items():
+    for name, (_, location) in declared.items():
         if name not in used:
-            raise place.failure(
+            raise location.invalid_value(
                 name, "a parameter that the body uses", "use or remove it"
             )
     return declared
@@ -60,67 +60,67 @@
     declared: Mapping[str, DeclaredParameter], parameters: ParameterFile
 ) -> dict[str, Any]:
     """
-    :returns: the value of each declared parameter for one client account.
+    :returns: values of all declared parameters for one client account, by name.
     :raises ConfigurationError: if a value is missing, not declared or not allowed.
     """
-    place = DocumentPlace(parameters.file, "parameters", ConfigurationError)
-    given = parameters.document.parameters
-    for name, value in given.items():
+    location = DocumentLocation(parameters.file, "parameters", ConfigurationError)
+    provided = parameters.document.parameters
+    for name, value in provided.items():
         if name not in declared:
-            raise place.at(name).failure(
+            raise location.at(name).invalid_value(
                 value,
                 "the declared parameters " + ", ".join(sorted(declared)),
-                "remove it or declare it in the template",
+                "remove the key or declare the parameter in the template",
             )
-        _check_value(value, declared[name].declaration, place.at(name))
+        _check_value(value, declared[name].declaration, location.at(name))
     return {
-        name: _value_or_default(name, given, parameter.declaration, place)
+        name: _value_or_default(name, provided, parameter.declaration, location)
         for name, parameter in declared.items()
     }
 
 
 def _value_or_default(
     name: str,
-    given: Mapping[str, Any],
+    provided: Mapping[str, Any],
     declaration: ParameterDeclaration,
-    place: DocumentPlace,
+    location: DocumentLocation,
 ) -> Any:
-    if name in given:
-        return given[name]
+    if name in provided:
+        return provided[name]
     if declaration.default is msgspec.UNSET:
-        raise place.at(name).failure(
+        raise location.at(name).invalid_value(
             None,
-            f"a value of type {declaration.type}, there is no default",
+            f"a value of type {declaration.type}, since there is no default",
             f"add the key ({declaration.description})",
         )
     return declaration.default
 
 
 def _check_value(
-    value: Any, declaration: ParameterDeclaration, place: DocumentPlace
+    value: Any, declaration: ParameterDeclaration, location: DocumentLocation
 ) -> None:
-    convert(value, _TYPES[declaration.type], place)
+    convert(value, _TYPES[declaration.type], location)
     if declaration.type in ("integer", "number"):
-        _check_range(value, declaration, place)
+        _check_range(value, declaration, location)
     if declaration.choices is not None and value not in declaration.choices:
-        raise place.failure(
-            value, "one of " + ", ".join(declaration.choices), "choose one of them"
+        raise location.invalid_value(
+            value, "one of " + ", ".join(declaration.choices), "use one of them"
         )
 
 
 def _check_range(
-    value: float, declaration: ParameterDeclaration, place: DocumentPlace
+    value: float, declaration: ParameterDeclaration, location: DocumentLocation
 ) -> None:
     low, high = declaration.minimum, declaration.maximum
     if (low is not None and value < low) or (high is not None and value > high):
-        raise place.failure(
+        raise location.invalid_value(
             value,
-            f"{declaration.type} from {_bound(low)} to {_bound(high)}",
-            "choose a value in this range",
+            f"{declaration.type} from {_format_limit(low)} to {_format_limit(high)}",
+            "use a value in this range",
         )
 
 
-def _bound(limit: float | None) -> str:
+def _format_limit(limit: float | None) -> str:
     return "no limit" if limit is None else f"{limit:g}"
 
 
@@ -135,53 +135,60 @@
     return set()
 
 
-def fill_in(value: Any, values: Mapping[str, Any], place: DocumentPlace) -> Any:
-    """Replaces references to parameters by their values.
+def substitute(
+    value: Any, values: Mapping[str, Any], location: DocumentLocation
+) -> Any:
+    """Replaces parameter references by their values.
 
-    A text that consists of one reference takes the value with its type; within a
-    longer text or a key, the value is written as text.
+    A string that is a single reference is replaced by the value, which keeps its type;
+    within a longer string or a key, the value is inserted as text.
 
-    :param value: part of a template's body.
-    :param values: value of each parameter.
-    :param place: place of ``value`` in the template.
-    :raises ConfigurationError: if a reference names no declared parameter, or a key
-        occurs twice once filled in.
+    :param value: a JSON value of a template's body.
+    :param values: parameter values by name.
+    :param location: location of ``value`` in the template.
+    :returns: a copy of ``value`` without references.
+    :raises ConfigurationError: if a reference names an undeclared parameter, or a key
+        occurs twice after the substitution.
     """
     if isinstance(value, str):
-        return _fill_text(value, values, place)
+        return _substitute_text(value, values, location)
     if isinstance(value, list):
         return [
-            fill_in(item, values, place._replace(path=f"{place.path}[{index}]"))
+            substitute(
+                item, values, location._replace(path=f"{location.path}[{index}]")
+            )
             for index, item in enumerate(value)
         ]
     if isinstance(value, dict):
-        return _fill_object(value, values, place)
+        return _substitute_object(value, values, location)
     return value
 
 
-def _fill_object(
-    value: Mapping[str, Any], values: Mapping[str, Any], place: DocumentPlace
+def _substitute_object(
+    value: Mapping[str, Any], values: Mapping[str, Any], location: DocumentLocation
 ) -> dict[str, Any]:
     result: dict[str, Any] = {}
     for key, item in value.items():
-        name = str(_fill_text(key, values, place.at(key)))
+        name = str(_substitute_text(key, values, location.at(key)))
         if name in result:
-            raise place.at(key).failure(
-                name, "a key that occurs once", "choose other parameter values"
+            raise location.at(key).invalid_value(
+                name, "a key that occurs only once", "use other parameter values"
             )
-        result[name] = fill_in(item, values, place.at(key))
+        result[name] = substitute(item, values, location.at(key))
     return result
 
 
-def _fill_text(text: str, values: Mapping[str, Any], place: DocumentPlace) -> Any:
+def _substitute_text(
+    text: str, values: Mapping[str, Any], location: DocumentLocation
+) -> Any:
     for name in _REFERENCE.findall(text):
         if name not in values:
-            raise place.failure(
+            raise location.invalid_value(
                 text,
                 "references to the declared parameters " + ", ".join(sorted(values)),
                 f"declare {name!r} or correct the reference",
             )
-    whole = _REFERENCE.fullmatch(text)
-    if whole is not None:
-        return values[whole[1]]
+    full_match = _REFERENCE.fullmatch(text)
+    if full_match is not None:
+        return values[full_match[1]]
     return _REFERENCE.sub(lambda match: str(values[match[1]]), text)
--- a/src/sycamorecroft/configuration/store.py
+++ b/src/sycamorecroft/configuration/store.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration in the table service."""
+"""Stores published configuration versions in the table service."""
 
 import random
 import secrets
@@ -34,19 +34,19 @@
 TABLE = "configuration"
 HEAD_KEY = "head"
 
-# Somewhat more than one day of the 1,800 changes a day of the target size. Each
-# publish deletes the version that falls out, so the table stays bounded.
+# Slightly more than one day of changes at the target size of 1,800 changes per day.
+# Each publish deletes the oldest version beyond the limit, so the table is bounded.
 RETAINED_VERSIONS_COUNT = 2_000
 
-# Bounds of the delay before a transaction is repeated after a lost response.
+# Upper bounds of the delay before a transaction is retried after a lost response.
 RETRY_BASE_S = 0.05
 RETRY_CAP_S = 0.5
 
 
 class PublishedVersion(msgspec.Struct, frozen=True):
-    """What is known of a published version besides its content.
+    """Metadata of a published version.
 
-    ``rolled_back_to`` is the version whose content a rollback took up.
+    ``rolled_back_to`` is the version whose content a rollback published again.
     """
 
     version: int
@@ -65,14 +65,14 @@
 
 
 class _HeadRow(msgspec.Struct, frozen=True):
-    """Value of row ``head``; ``token`` names the attempt that wrote it."""
+    """Value of row ``head``; ``token`` identifies the transaction that wrote it."""
 
     version: int
     token: str
 
 
 class _Head(NamedTuple):
-    """The head and the commit that wrote its row, ``None`` if there is no row."""
+    """The head version, and the version of its row, ``None`` if there is no row."""
 
     version: int
     row_version: int | None
@@ -86,10 +86,10 @@
     """Reads and publishes configuration versions.
 
     :param tables: the platform's table service.
-    :param clock: source of the time of publication.
-    :param purpose: share of the store budget to use for reads; ``CONFIGURATION``
-        for polls by daemons.
-    :param sleep: waits before a transaction is repeated after a lost response.
+    :param clock: source of publication times.
+    :param purpose: purpose whose share of the store budget reads use;
+        ``CONFIGURATION`` for polls by daemons.
+    :param sleep: waits before a transaction is retried after a lost response.
     """
 
     def __init__(
@@ -106,8 +106,8 @@
 
     def head_version(self) -> int:
         """
-        :returns: the version published last, 0 if there is none.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :returns: the latest published version number, 0 if there is none.
+        :raises StoreUnavailableError: when no response arrived within the timeout.
         """
         return self._read_head().version
 
@@ -115,9 +115,10 @@
         self, known: FleetConfiguration | None = None
     ) -> FleetConfiguration | None:
         """
-        :param known: a version that the caller holds; its content isn't read again.
-        :returns: the configuration published last, ``None`` if there is none.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :param known: configuration that the caller holds; it is returned without
+            another read if it is the head.
+        :returns: the latest published configuration, ``None`` if there is none.
+        :raises StoreUnavailableError: when no response arrived within the timeout.
         """
         version = self.head_version()
         if known is not None and known.version == version:
@@ -126,14 +127,14 @@
 
     def read_version(self, version: int) -> FleetConfiguration:
         """
-        :raises ConfigurationError: if ``version`` isn't in the store.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :raises ConfigurationError: if ``version`` is not in the store.
+        :raises StoreUnavailableError: when no response arrived within the timeout.
         """
         row = self._read_row(version)
         if row is None:
             message = (
-                f"version {version} is not in the store; allowed are published "
-                f"versions, of which the last {RETAINED_VERSIONS_COUNT} are kept; "
+                f"version {version} is not in the store; allowed are the latest "
+                f"{RETAINED_VERSIONS_COUNT} published versions; "
                 "choose one from the history"
             )
             raise ConfigurationError(message)
@@ -141,9 +142,9 @@
 
     def history(self, limit: int = 20) -> tuple[PublishedVersion, ...]:
         """
-        :param limit: number of versions at most; each costs one read.
-        :returns: published versions, the latest first.
-        :raises StoreUnavailableError: when no answer was had in time.
+        :param limit: maximum number of versions; each costs one read.
+        :returns: metadata of published versions, latest first.
+        :raises StoreUnavailableError: when no response arrived within the timeout.
         """
         head = self.head_version()
         rows = (self._read_row(n) for n in range(head, max(head - limit, 0), -1))
@@ -159,18 +160,20 @@
     ) -> PublishedVersion:
         """Publishes ``configuration`` as the version after ``base_version``.
 
-        Publishing the same content on the same base again returns the version that
-        the first call wrote, so the call may be repeated after a lost response.
+        The call is idempotent: publishing the same content on the same base again
+        returns the version that the first call wrote, so it can be retried after a
+        lost response.
 
-        :param configuration: content; its version is replaced.
-        :param base_version: the version that the operator's change is based on,
-            0 for the first.
-        :param author: who publishes, for the history.
+        :param configuration: content to publish; its version number is replaced.
+        :param base_version: version on which the operator's change is based, 0 for the
+            first version.
+        :param author: name of the operator, for the history.
         :raises ConfigurationConflictError: naming the winner, if another version
             was published on ``base_version``.
+        :raises ConfigurationError: if ``base_version`` has not been published.
         :raises StoreUnavailableError: when nothing was published.
         :raises StoreOutcomeUnknownError: when the response was lost and the outcome
-            can't be read back; the call can be repeated.
+            can't be read back; the call can be retried.
         """
         published = PublishedVersion(
             version=base_version + 1,
@@ -181,20 +184,21 @@
             rolled_back_to=rolled_back_to,
         )
         content = configuration._replace(version=published.version)
-        settled = self._settled(published)
-        if settled is not None:
-            return settled
+        existing = self._find_published(published)
+        if existing is not None:
+            return existing
         try:
             return self._commit(published, content)
         except StoreConflictError:
-            settled = self._settled(published)
-        if settled is None:
+            existing = self._find_published(published)
+        if existing is None:
             message = (
                 f"the head changed while version {published.version} was published, "
-                "and is unchanged now; nothing was published, repeat the command"
+                "and is the base version again; nothing was published; repeat "
+                "the command"
             )
             raise ConfigurationConflictError(message)
-        return settled
+        return existing
 
     def rollback(
         self, to_version: int, *, base_version: int, author: str
@@ -202,8 +206,8 @@
         """Publishes the content of an earlier version as a new version.
 
         :param to_version: version whose content to publish.
-        :raises ConfigurationError: if ``to_version`` isn't in the store.
-        :raises ConfigurationConflictError: as :meth:`publish`.
+        :raises ConfigurationError: if ``to_version`` is not in the store.
+        :raises ConfigurationConflictError: as for :meth:`publish`.
         """
         return self.publish(
             self.read_version(to_version),
@@ -212,23 +216,26 @@
             rolled_back_to=to_version,
         )
 
-    def _settled(self, published: PublishedVersion) -> PublishedVersion | None:
+    def _find_published(self, published: PublishedVersion) -> PublishedVersion | None:
         """
-        :returns: the version with this content, if it is the head or was published
-            on this base; ``None`` if it is still to be published.
+        :returns: the published version with the same content, if it is the head or was
+            published on the same base; ``None`` if there is none and the base is the
+            head.
+        :raises ConfigurationError: if the base version has not been published.
+        :raises ConfigurationConflictError: if other content was published on the base.
         """
         head = self._read_head()
         if head.version < published.base_version:
             message = (
                 f"base version {published.base_version} has not been published; the "
-                f"head is version {head.version}; name this version as the base"
+                f"head is version {head.version}; use this version as the base"
             )
             raise ConfigurationError(message)
-        is_open = head.version == published.base_version
-        row = self._read_row(head.version if is_open else published.version)
+        is_base_current = head.version == published.base_version
+        row = self._read_row(head.version if is_base_current else published.version)
         if row is not None and row.published.digest == published.digest:
             return row.published
-        if is_open:
+        if is_base_current:
             return None
         raise _conflict(published, head, row)
 
@@ -237,7 +244,7 @@
     ) -> PublishedVersion:
         head = self._read_head()
         if head.version != published.base_version:
-            message = f"the head is version {head.version}"
+            message = f"the head has changed to version {head.version}"
             raise StoreConflictError(message)
         token = secrets.token_hex(8)
         head_row = _HeadRow(published.version, token)
@@ -246,9 +253,9 @@
             Put(TABLE, _version_key(published.version), msgspec.json.encode(row)),
             Put(TABLE, HEAD_KEY, msgspec.json.encode(head_row)),
         ]
-        dropped = published.version - RETAINED_VERSIONS_COUNT
-        if dropped > 0:
-            puts.append(Put(TABLE, _version_key(dropped), None))
+        expired_version = published.version - RETAINED_VERSIONS_COUNT
+        if expired_version > 0:
+            puts.append(Put(TABLE, _version_key(expired_version), None))
         transact_with_token(
             self._tables,
             [Check(TABLE, HEAD_KEY, head.row_version)],
@@ -274,9 +281,9 @@
         return _decode(row, _VersionRow)
 
 
-def _decode(row: Row, kind: type):
+def _decode(row: Row, row_type: type):
     try:
-        return msgspec.json.decode(row.value, type=kind)
+        return msgspec.json.decode(row.value, type=row_type)
     except msgspec.MsgspecError as cause:
         message = f"row {row.table}/{row.key} can't be decoded ({cause}); restore it"
         raise ConfigurationError(message) from cause
@@ -286,13 +293,13 @@
     published: PublishedVersion, head: _Head, winner_row: _VersionRow | None
 ) -> ConfigurationConflictError:
     if winner_row is None:
-        by = "it is no longer kept"
+        winner_description = "it is no longer in the store"
     else:
         winner = winner_row.published
-        when = winner.published_at.isoformat()
-        by = f"{winner.author!r} published it at {when}"
+        published_at = winner.published_at.isoformat()
+        winner_description = f"{winner.author!r} published it at {published_at}"
     return ConfigurationConflictError(
         f"version {published.version} on base {published.base_version} exists with "
-        f"other content: {by}; the head is version {head.version}; compare with it "
-        f"and apply again with base version {head.version}"
+        f"other content: {winner_description}; the head is version {head.version}; "
+        f"compare with it and apply again with base version {head.version}"
     )
--- a/src/sycamorecroft/configuration/template.py
+++ b/src/sycamorecroft/configuration/template.py
@@ -1,4 +1,4 @@
-"""Templates, parameter files and the host inventory, as operators write them."""
+"""File formats of templates, parameter files and host inventories."""
 
 from pathlib import Path
 from typing import Annotated, Any, Literal, NamedTuple
@@ -7,7 +7,7 @@
 
 from sycamorecroft.configuration.fleet import Urgency
 from sycamorecroft.errors import ConfigurationError
-from sycamorecroft.settings.document import DocumentPlace, convert, read_document
+from sycamorecroft.settings.document import DocumentLocation, convert, read_document
 
 NAME_PATTERN = r"^[a-z0-9][a-z0-9-]{0,62}$"
 
@@ -19,9 +19,9 @@
 
 
 class ParameterDeclaration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A parameter that a template declares; without a default it is required.
+    """Declaration of a template's parameter; without a default it is required.
 
-    ``minimum`` and ``maximum`` limit numbers, ``choices`` limits texts.
+    ``minimum`` and ``maximum`` apply to numbers, ``choices`` applies to texts.
     """
 
     type: ParameterType
@@ -33,7 +33,7 @@
 
 
 class TemplateDocument(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """File of a template. ``body`` may reference parameters as ``${name}``."""
+    """Content of a template file. ``body`` references parameters as ``${name}``."""
 
     fleet: Name
     parameters: dict[ParameterName, dict[str, Any]]
@@ -41,7 +41,7 @@
 
 
 class ParameterDocument(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """File of parameters of one client account for one kind of fleet."""
+    """Content of a parameter file of one client account for a kind of fleet."""
 
     account: Name
     fleet: Name
@@ -75,7 +75,11 @@
 
 
 class FleetBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Body of a template once parameters are filled in; entries are decoded later."""
+    """Body of a template after substitution of the parameters.
+
+    The values of ``teams``, ``pools`` and ``services`` are decoded separately, so that
+    errors name their location.
+    """
 
     data_centres: Annotated[tuple[Name, ...], msgspec.Meta(min_length=1)]
     availability_ratio: Ratio
@@ -99,7 +103,7 @@
 
 
 class InventoryHost(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A worker of the inventory; ``pool`` is where it starts, if anywhere."""
+    """A worker of the inventory; ``pool`` is its initial pool, if any."""
 
     name: Name
     data_centre: Name
@@ -109,7 +113,7 @@
 
 
 class InventorySize(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Size that all workers of an inventory share."""
+    """Size of each worker of an inventory; all have the same."""
 
     processors_count: Annotated[int, msgspec.Meta(ge=1)]
     memory_bytes: Annotated[int, msgspec.Meta(ge=1)]
@@ -135,43 +139,48 @@
 
 def load_template(path: str | Path) -> Template:
     """
-    :param path: file of the template.
-    :raises ConfigurationError: naming the file, the key's path, the value and the rule.
+    :param path: template file.
+    :raises ConfigurationError: if the file is not valid; the message names the file,
+        the path of the key, the value and the rule.
     """
-    place = DocumentPlace(Path(path), "", ConfigurationError)
-    raw = read_document(place.file, ConfigurationError)
-    return Template(place.file, convert(raw, TemplateDocument, place))
+    location = DocumentLocation(Path(path), "", ConfigurationError)
+    raw = read_document(location.file, ConfigurationError)
+    return Template(location.file, convert(raw, TemplateDocument, location))
 
 
 def load_parameters(path: str | Path) -> ParameterFile:
     """
-    :param path: file of parameters of one client account.
-    :raises ConfigurationError: naming the file, the key's path, the value and the rule.
+    :param path: parameter file of a client account.
+    :raises ConfigurationError: if the file is not valid; the message names the file,
+        the path of the key, the value and the rule.
     """
-    place = DocumentPlace(Path(path), "", ConfigurationError)
-    raw = read_document(place.file, ConfigurationError)
-    return ParameterFile(place.file, convert(raw, ParameterDocument, place))
+    location = DocumentLocation(Path(path), "", ConfigurationError)
+    raw = read_document(location.file, ConfigurationError)
+    return ParameterFile(location.file, convert(raw, ParameterDocument, location))
 
 
 def load_inventory(path: str | Path) -> HostInventory:
     """
-    :param path: file of a site's hosts.
-    :raises ConfigurationError: naming the file, the key's path, the value and the
-        rule; also if two workers share a name or an address.
+    :param path: inventory file of a site.
+    :raises ConfigurationError: if the file is not valid or two workers have the same
+        name or address; the message names the file, the path of the key, the value and
+        the rule.
     """
-    place = DocumentPlace(Path(path), "", ConfigurationError)
+    location = DocumentLocation(Path(path), "", ConfigurationError)
     inventory = convert(
-        read_document(place.file, ConfigurationError), HostInventory, place
+        read_document(location.file, ConfigurationError), HostInventory, location
     )
     seen: set[str | int] = set()
     for index, host in enumerate(inventory.workers):
         for key, value in (("name", host.name), ("port_offset", host.port_offset)):
             if value in seen:
                 raise (
-                    place.at(f"workers[{index}]")
+                    location.at(f"workers[{index}]")
                     .at(key)
-                    .failure(
-                        value, f"a {key} that no other worker has", "correct the list"
+                    .invalid_value(
+                        value,
+                        f"a {key} that no other worker has",
+                        "remove the duplicate",
                     )
                 )
             seen.add(value)
--- a/src/sycamorecroft/configuration/tests/test_compilation.py
+++ b/src/sycamorecroft/configuration/tests/test_compilation.py
@@ -43,15 +43,15 @@
     )
 
 
-def _set(document, path, value):
+def _set_at(document, path, value):
     *steps, last = path
     for step in steps:
         document = document[step]
     document[last] = value
 
 
-# Where a value is changed in the template, to what, and what the message must name.
-BAD_TEMPLATES = {
+# For each case: path and new value in the template, and text that the message contains.
+INVALID_TEMPLATES = {
     "unknown pool": (("services", RATING, "pool"), "lids", "services.rating.pool"),
     "shared pool": (("services", RATING, "pool"), "hotline", "its own pool"),
     "ratio above 1": (("pools", RATING, "max_unavailable_ratio"), 1.5, "<= 1.0"),
@@ -70,24 +70,25 @@
 }
 
 
-# Guards against a template that compiles into a fleet that can't work, and against
-# messages that don't tell where.
-@pytest.mark.parametrize("case", BAD_TEMPLATES)
-def test_bad_template_is_refused(tmp_path, case):
-    path, value, expected = BAD_TEMPLATES[case]
+@pytest.mark.parametrize("case", INVALID_TEMPLATES)
+def test_invalid_template_is_rejected(tmp_path, case):
+    """Guards against a template that compiles into an unusable fleet configuration, and
+    against messages that don't name the location.
+    """
+    path, value, expected = INVALID_TEMPLATES[case]
     template = copy.deepcopy(TEMPLATE)
     parameters = copy.deepcopy(PARAMETERS)
     if path[0] in template["parameters"]:
         del template["parameters"][path[0]]
         del parameters["parameters"][path[0]]
-    _set(template["body"], path, value)
-    with pytest.raises(ConfigurationError) as caught:
+    _set_at(template["body"], path, value)
+    with pytest.raises(ConfigurationError) as error_info:
         _compile(tmp_path, template, parameters)
-    assert str(caught.value).startswith(f"{tmp_path / 'template.jsonc'}: body")
-    assert expected in str(caught.value)
+    assert str(error_info.value).startswith(f"{tmp_path / 'template.jsonc'}: body")
+    assert expected in str(error_info.value)
 
 
-BAD_DECLARATIONS = {
+INVALID_DECLARATIONS = {
     "unused": ("unused", {"type": "text", "description": ""}, "the body uses"),
     "unknown type": ("teams", {"type": "team", "description": ""}, "Invalid enum"),
     "bad default": (
@@ -99,17 +100,18 @@
 }
 
 
-@pytest.mark.parametrize("case", BAD_DECLARATIONS)
-def test_bad_declaration_is_refused(tmp_path, case):
-    name, declaration, expected = BAD_DECLARATIONS[case]
+@pytest.mark.parametrize("case", INVALID_DECLARATIONS)
+def test_invalid_declaration_is_rejected(tmp_path, case):
+    """Guards against invalid parameter declarations that pass unnoticed."""
+    name, declaration, expected = INVALID_DECLARATIONS[case]
     template = copy.deepcopy(TEMPLATE)
     template["parameters"][name] = declaration
-    with pytest.raises(ConfigurationError) as caught:
+    with pytest.raises(ConfigurationError) as error_info:
         _compile(tmp_path, template, PARAMETERS)
-    assert expected in str(caught.value)
+    assert expected in str(error_info.value)
 
 
-BAD_PARAMETERS = {
+INVALID_PARAMETERS = {
     "undeclared": ({"lids": 1}, "parameters.lids: got 1"),
     "wrong type": ({"spare_hosts": "8"}, "parameters.spare_hosts: got '8'"),
     "fraction of a host": ({"spare_hosts": 1.5}, "Expected `int`"),
@@ -119,17 +121,20 @@
 }
 
 
-@pytest.mark.parametrize("case", BAD_PARAMETERS)
-def test_bad_parameter_is_refused(tmp_path, case):
-    changes, expected = BAD_PARAMETERS[case]
+@pytest.mark.parametrize("case", INVALID_PARAMETERS)
+def test_invalid_parameter_is_rejected(tmp_path, case):
+    """Guards against parameter values that violate their declaration."""
+    changes, expected = INVALID_PARAMETERS[case]
     parameters = copy.deepcopy(PARAMETERS)
     parameters["parameters"].update(changes)
     if case == "missing":
         del parameters["parameters"]["teams"]
-    with pytest.raises(ConfigurationError) as caught:
+    with pytest.raises(ConfigurationError) as error_info:
         _compile(tmp_path, TEMPLATE, parameters)
-    assert str(caught.value).startswith(f"{tmp_path / 'account-0.jsonc'}: parameters")
-    assert expected in str(caught.value)
+    assert str(error_info.value).startswith(
+        f"{tmp_path / 'account-0.jsonc'}: parameters"
+    )
+    assert expected in str(error_info.value)
 
 
 def _second_account(**parameters):
@@ -139,8 +144,8 @@
     return second
 
 
-# Guards against two accounts that overwrite each other's pools or hosts.
-def test_accounts_share_no_name_and_no_host(tmp_path):
+def test_accounts_can_not_share_names_or_hosts(tmp_path):
+    """Guards against accounts that overwrite each other's pools or share hosts."""
     small = {"hosts_per_service": 4, "spare_hosts": 4}
     first = copy.deepcopy(PARAMETERS)
     first["parameters"].update(small)
@@ -155,28 +160,29 @@
             first,
             _second_account(name_prefix="rundu-", hosts_per_service=21),
         )
-    both = _compile(
+    combined = _compile(
         tmp_path, TEMPLATE, first, _second_account(name_prefix="rundu-", **small)
     )
-    assert both.services["rundu-rating"].pool == "rundu-rating"
-    assert both.pools["rundu-rating"].account == "rundu-street-safety"
+    assert combined.services["rundu-rating"].pool == "rundu-rating"
+    assert combined.pools["rundu-rating"].account == "rundu-street-safety"
 
 
-def test_template_of_another_fleet_is_refused(tmp_path):
+def test_template_for_another_fleet_is_rejected(tmp_path):
+    """Guards against parameters compiled with the template of another fleet."""
     with pytest.raises(ConfigurationError, match="fleet: got 'engraving'"):
         _compile(tmp_path, TEMPLATE, {**PARAMETERS, "fleet": "engraving"})
 
 
-# Guards against a value lost between the table row and a peer's snapshot.
-def test_configuration_survives_its_json_form(tmp_path):
+def test_configuration_round_trips_through_json(tmp_path):
+    """Guards against values lost in the encoding for rows and snapshots."""
     configuration = _compile(tmp_path, TEMPLATE, PARAMETERS)
     text = encode_configuration(configuration)
     assert decode_configuration(text) == configuration
     assert digest_of(configuration) == digest_of(configuration._replace(version=7))
 
 
-# Guards against daemons of one release that can't read rows of the next.
-def test_unknown_fields_are_ignored_and_damage_is_not(tmp_path):
+def test_unknown_fields_are_ignored_and_malformed_json_is_rejected(tmp_path):
+    """Guards against daemons that can't read rows written by the next release."""
     configuration = _compile(tmp_path, TEMPLATE, PARAMETERS)
     document = json.loads(encode_configuration(configuration))
     document["pools"]["rating"]["colour"] = "red"
--- a/src/sycamorecroft/configuration/tests/test_deployments.py
+++ b/src/sycamorecroft/configuration/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""The committed sites hold to section 1.2 of docs/design.md."""
+"""Guards against committed sites that differ from section 1.2 of docs/design.md."""
 
 from collections import Counter
 from pathlib import Path
@@ -25,9 +25,9 @@
     return DEPLOYMENTS / request.param
 
 
-# Guards against a site that daemons would refuse at start or at apply.
 def test_site_compiles_against_its_inventory(site):
-    parameters, not_repeatable = SITES[site.name]
+    """Guards against a site that daemons reject at start, or operators can't apply."""
+    parameters, non_repeatable_service = SITES[site.name]
     configuration = compile_configuration(
         load_template(site / "template.jsonc"),
         [load_parameters(site / parameters)],
@@ -36,7 +36,7 @@
     )
     services = configuration.services.values()
     assert [item.name for item in services if not item.is_repeatable] == [
-        not_repeatable
+        non_repeatable_service
     ]
     assert [p.name for p in configuration.pools.values() if p.is_spare] == [
         "backoffice"
@@ -47,6 +47,7 @@
 
 
 def test_inventory_has_racks_of_four_over_four_data_centres(site):
+    """Guards against an inventory that differs from the layout in the design."""
     workers = load_inventory(site / "hosts.json").workers
     assert len(workers) == 40
     assert set(Counter(host.rack for host in workers).values()) == {4}
@@ -56,8 +57,8 @@
     assert len(racks) == len({rack for rack, _ in racks})
 
 
-# Guards against shown values that differ from the defaults they are said to be.
-def test_settings_show_every_default(site):
+def test_settings_file_lists_every_key_with_its_default(site):
+    """Guards against a file whose values differ from the defaults it documents."""
     text = (site / "daemon.jsonc").read_text(encoding="utf-8")
     settings = load_settings(site / "daemon.jsonc")
     assert len(settings.entries) == 9
--- a/src/sycamorecroft/configuration/tests/test_difference.py
+++ b/src/sycamorecroft/configuration/tests/test_difference.py
@@ -45,8 +45,8 @@
 HOSTS = _hosts(rating=8, hotline=8, spare=4)
 
 
-# Guards against an apply whose cost the operator can't see beforehand.
-def test_moves_budgets_and_buffer_are_counted():
+def test_diff_counts_moves_tightened_budgets_and_buffer():
+    """Guards against a diff that hides the cost of an apply from the operator."""
     new = _configuration(
         2, _pool("rating", 11), _pool("hotline", 7), _pool("spare", 2, is_spare=True)
     )
@@ -67,7 +67,8 @@
     assert difference.services == ()
 
 
-def test_added_removed_and_changed_parts_are_named():
+def test_diff_lists_added_removed_and_changed_items():
+    """Guards against changes that are missing from the diff."""
     new = _configuration(
         2, _pool("rating", 8), _pool("permits", 8), _pool("spare", 4), weight=2.0
     )
@@ -82,8 +83,8 @@
     assert "weight 2.0" in field.new
 
 
-# Guards against moves counted for hosts that don't exist.
-def test_missing_hosts_are_not_moves():
+def test_missing_hosts_are_not_counted_as_moves():
+    """Guards against moves that are counted for hosts that don't exist."""
     difference = diff_configurations(None, OLD, _hosts(rating=8, unassigned=5))
     assert difference.missing_hosts_count == 7
     assert difference.moves_count == 5
--- a/src/sycamorecroft/configuration/tests/test_store.py
+++ b/src/sycamorecroft/configuration/tests/test_store.py
@@ -14,7 +14,7 @@
 )
 
 
-def _content(name):
+def _configuration(name):
     account = AccountConfiguration(name, ("here",), 0.9, {})
     return FleetConfiguration(0, {name: account}, {}, {})
 
@@ -31,8 +31,8 @@
 
 @pytest.fixture
 def store(tables, faults):
-    handle = tables.connect(faults)
-    return ConfigurationStore(handle, ManualClock(), sleep=lambda _: None)
+    connection = tables.connect(faults)
+    return ConfigurationStore(connection, ManualClock(), sleep=lambda _: None)
 
 
 @pytest.fixture
@@ -40,106 +40,116 @@
     return ConfigurationStore(tables, ManualClock())
 
 
-# Guards against two operators who overwrite each other without notice.
-def test_loser_of_a_race_learns_the_winner(store, other_store):
-    store.publish(_content("a"), base_version=0, author="asha")
-    other_store.publish(_content("b"), base_version=1, author="beatrice")
-    with pytest.raises(ConfigurationConflictError) as caught:
-        store.publish(_content("c"), base_version=1, author="asha")
-    assert "'beatrice' published it at 2026-01-01T00:00:00+00:00" in str(caught.value)
-    assert "base version 2" in str(caught.value)
-    assert store.read_head() == _content("b")._replace(version=2)
+def test_conflict_error_names_the_winner(store, other_store):
+    """Guards against two operators who silently overwrite each other's change."""
+    store.publish(_configuration("a"), base_version=0, author="asha")
+    other_store.publish(_configuration("b"), base_version=1, author="beatrice")
+    with pytest.raises(ConfigurationConflictError) as error_info:
+        store.publish(_configuration("c"), base_version=1, author="asha")
+    assert "'beatrice' published it at 2026-01-01T00:00:00+00:00" in str(
+        error_info.value
+    )
+    assert "base version 2" in str(error_info.value)
+    assert store.read_head() == _configuration("b")._replace(version=2)
 
 
-# Guards against the same race when the winner commits between check and commit.
-def test_race_within_the_transaction_is_a_conflict(store, other_store, monkeypatch):
+def test_concurrent_commit_within_the_transaction_is_a_conflict(
+    store, other_store, monkeypatch
+):
+    """Guards against a lost update if the winner commits after the head was read."""
     transact = store._tables.transact
 
-    def transact_late(*args, **kwargs):
-        other_store.publish(_content("b"), base_version=0, author="beatrice")
+    def transact_after_other(*args, **kwargs):
+        other_store.publish(_configuration("b"), base_version=0, author="beatrice")
         return transact(*args, **kwargs)
 
-    monkeypatch.setattr(store._tables, "transact", transact_late)
+    monkeypatch.setattr(store._tables, "transact", transact_after_other)
     with pytest.raises(ConfigurationConflictError, match="beatrice"):
-        store.publish(_content("a"), base_version=0, author="asha")
+        store.publish(_configuration("a"), base_version=0, author="asha")
     assert store.head_version() == 1
 
 
-# Guards against a version published twice or reported as failed by a lost response.
 @pytest.mark.parametrize("lost_count", [1, 2, 3])
 def test_lost_response_is_resolved_by_reading_back(store, faults, lost_count):
+    """Guards against a version that is published twice, or reported as failed, after a
+    lost response.
+    """
     faults.lose_responses(count=lost_count)
-    assert store.publish(_content("a"), base_version=0, author="asha").version == 1
+    assert (
+        store.publish(_configuration("a"), base_version=0, author="asha").version == 1
+    )
     assert [item.version for item in store.history()] == [1]
 
 
-# Guards against a claim that nothing was published when that isn't known.
 def test_outcome_is_unknown_when_reading_back_fails(store, other_store, faults):
+    """Guards against reporting an unknown outcome as not published."""
     faults.lose_responses(count=1)
     transact = store._tables.transact
 
-    def lose_store_after_commit(*args, **kwargs):
+    def fail_reads_after_commit(*args, **kwargs):
         try:
             return transact(*args, **kwargs)
         finally:
             faults.set_down(operation=Operation.READ)
 
-    store._tables.transact = lose_store_after_commit
+    store._tables.transact = fail_reads_after_commit
     with pytest.raises(StoreOutcomeUnknownError):
-        store.publish(_content("a"), base_version=0, author="asha")
+        store.publish(_configuration("a"), base_version=0, author="asha")
     faults.clear()
     store._tables.transact = transact
-    again = store.publish(_content("a"), base_version=0, author="asha")
-    assert again.version == 1
+    retried = store.publish(_configuration("a"), base_version=0, author="asha")
+    assert retried.version == 1
     assert other_store.head_version() == 1
 
 
-def test_nothing_is_published_while_the_store_is_down(store, other_store, faults):
+def test_nothing_is_published_during_a_store_outage(store, other_store, faults):
+    """Guards against a publish that is reported wrongly during an outage."""
     faults.set_down()
     with pytest.raises(StoreUnavailableError):
-        store.publish(_content("a"), base_version=0, author="asha")
+        store.publish(_configuration("a"), base_version=0, author="asha")
     assert other_store.head_version() == 0
 
 
-# Guards against a repeated command that adds a version.
 def test_repeated_publish_returns_the_same_version(store, other_store):
-    first = store.publish(_content("a"), base_version=0, author="asha")
-    assert store.publish(_content("a"), base_version=0, author="asha") == first
-    assert store.publish(_content("a"), base_version=1, author="asha") == first
-    other_store.publish(_content("b"), base_version=1, author="beatrice")
-    assert store.publish(_content("a"), base_version=0, author="asha") == first
+    """Guards against a retried command that adds a second version."""
+    first = store.publish(_configuration("a"), base_version=0, author="asha")
+    assert store.publish(_configuration("a"), base_version=0, author="asha") == first
+    assert store.publish(_configuration("a"), base_version=1, author="asha") == first
+    other_store.publish(_configuration("b"), base_version=1, author="beatrice")
+    assert store.publish(_configuration("a"), base_version=0, author="asha") == first
     assert store.head_version() == 2
 
 
-# Guards against versions that fall: a rollback takes a new number.
 def test_rollback_is_a_new_version(store):
-    store.publish(_content("a"), base_version=0, author="asha")
-    store.publish(_content("b"), base_version=1, author="asha")
+    """Guards against version numbers that decrease after a rollback."""
+    store.publish(_configuration("a"), base_version=0, author="asha")
+    store.publish(_configuration("b"), base_version=1, author="asha")
     rollback = store.rollback(1, base_version=2, author="asha")
     assert (rollback.version, rollback.rolled_back_to) == (3, 1)
-    assert store.read_head() == _content("a")._replace(version=3)
+    assert store.read_head() == _configuration("a")._replace(version=3)
     assert [item.version for item in store.history(limit=2)] == [3, 2]
 
 
-# Guards against polls that use up the store budget: one read while nothing changes.
-def test_poll_of_a_known_head_costs_one_read(store, tables):
-    store.publish(_content("a"), base_version=0, author="asha")
+def test_poll_of_an_unchanged_head_costs_one_read(store, tables):
+    """Guards against polls of an unchanged head that exhaust the store budget."""
+    store.publish(_configuration("a"), base_version=0, author="asha")
     known = store.read_head()
     before = sum(tables.call_counts().values())
     assert store.read_head(known) is known
     assert sum(tables.call_counts().values()) == before + 1
 
 
-def test_unknown_versions_are_refused(store):
+def test_unknown_versions_are_rejected(store):
+    """Guards against a publish on, or rollback to, a version that does not exist."""
     with pytest.raises(ConfigurationError, match="head is version 0"):
-        store.publish(_content("a"), base_version=4, author="asha")
+        store.publish(_configuration("a"), base_version=4, author="asha")
     with pytest.raises(ConfigurationError, match="not in the store"):
         store.rollback(4, base_version=0, author="asha")
 
 
-# Guards against a table that grows without limit.
 def test_old_versions_are_deleted(store, monkeypatch):
+    """Guards against unbounded growth of the table."""
     monkeypatch.setattr(store_module, "RETAINED_VERSIONS_COUNT", 2)
     for base in range(4):
-        store.publish(_content(f"a{base}"), base_version=base, author="asha")
+        store.publish(_configuration(f"a{base}"), base_version=base, author="asha")
     assert [item.version for item in store.history()] == [4, 3]
--- a/src/sycamorecroft/settings/__init__.py
+++ b/src/sycamorecroft/settings/__init__.py
@@ -1,6 +1,6 @@
-"""Settings of the daemon and of the command-line tool."""
+"""Settings of the daemon, of a node and of the command-line tool."""
 
-from sycamorecroft.settings.daemon import DaemonSettings, EntryAddress
+from sycamorecroft.settings.daemon import DaemonSettings, EntryHostAddress
 from sycamorecroft.settings.loading import (
     SocketAddress,
     load_node_settings,
@@ -13,7 +13,7 @@
 
 __all__ = [
     "DaemonSettings",
-    "EntryAddress",
+    "EntryHostAddress",
     "NodeSettings",
     "SocketAddress",
     "ToolSettings",
--- a/src/sycamorecroft/settings/daemon.py
+++ b/src/sycamorecroft/settings/daemon.py
@@ -13,10 +13,10 @@
 Name = Annotated[str, msgspec.Meta(pattern=NAME_PATTERN)]
 
 
-class EntryAddress(
+class EntryHostAddress(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """An entry host as its peers reach it."""
+    """Name and address of an entry host."""
 
     name: Annotated[
         Name, documented("Name of the entry host; unique.", allowed=_NAME_RULE)
@@ -24,7 +24,7 @@
     grpc_address: Annotated[
         str,
         documented(
-            "Address at which this entry host serves its peers; unique.",
+            "Address at which the entry host listens for its peers; unique.",
             allowed=_ADDRESS_RULE,
         ),
     ]
@@ -50,15 +50,16 @@
     grpc_address: Annotated[
         str,
         documented(
-            "Listen address for peers; must be the one in `entries`.",
+            "Listen address for peers; must equal this host's address in `entries`.",
             allowed=_ADDRESS_RULE,
         ),
     ]
     entries: Annotated[
-        tuple[EntryAddress, ...],
+        tuple[EntryHostAddress, ...],
         documented(
-            "All entry hosts of the fleet, this one included. A version comes into "
-            "force by a majority of this list, so change it one host at a time.",
+            "All entry hosts of the fleet, including this one. A configuration "
+            "version comes into force by a majority of this list, so change it one "
+            "host at a time.",
             min_length=1,
             max_length=99,
         ),
@@ -81,7 +82,7 @@
     thread_count: Annotated[
         int,
         documented(
-            "Threads that serve requests; above `admitted_limit_count`.",
+            "Threads that serve requests; must be greater than `admitted_limit_count`.",
             unit="threads",
             ge=8,
             le=4096,
@@ -90,7 +91,8 @@
     admitted_limit_count: Annotated[
         int,
         documented(
-            "Requests admitted or waiting at once; more are refused at once.",
+            "Requests admitted or waiting at the same time; further requests are "
+            "refused immediately.",
             unit="requests",
             ge=1,
             le=4000,
@@ -99,7 +101,7 @@
     body_limit_bytes: Annotated[
         int,
         documented(
-            "Largest body of a request or response.",
+            "Maximum size of the body of a request or response.",
             unit="bytes",
             ge=1024,
             le=256 * 1024 * 1024,
@@ -108,7 +110,8 @@
     in_flight_limit_bytes: Annotated[
         int,
         documented(
-            "Buffered bodies of all requests together; not below `body_limit_bytes`.",
+            "Maximum total size of the buffered bodies of all requests; at least "
+            "`body_limit_bytes`.",
             unit="bytes",
             ge=1024,
             le=64 * 1024 * 1024 * 1024,
@@ -117,7 +120,8 @@
     connection_limit_count: Annotated[
         int,
         documented(
-            "Open connections of callers; above `thread_count`.",
+            "Maximum number of open caller connections; must be greater than "
+            "`thread_count`.",
             unit="connections",
             ge=16,
             le=65536,
@@ -126,7 +130,7 @@
     slow_sender_timeout_s: Annotated[
         float,
         documented(
-            "Silence after which a caller's connection is closed.",
+            "Time without data from a caller after which its connection is closed.",
             unit="seconds",
             ge=1,
             le=600,
@@ -135,8 +139,8 @@
     drain_grace_s: Annotated[
         float,
         documented(
-            "Time between failing readiness and closing the listener on a planned "
-            "stop.",
+            "Time between failing the readiness probe and closing the listener on "
+            "a planned stop.",
             unit="seconds",
             ge=0,
             le=300,
@@ -145,8 +149,8 @@
     gossip_interval_s: Annotated[
         float,
         documented(
-            "Time between gossip rounds. Suspicion takes 2 s, so several rounds must "
-            "fit.",
+            "Time between gossip rounds. A peer is suspected after 2 s, so several "
+            "rounds must fit into 2 s.",
             unit="seconds",
             ge=0.05,
             le=1,
@@ -155,7 +159,7 @@
     poll_interval_s: Annotated[
         float,
         documented(
-            "Time between polls of the configuration head and the host view.",
+            "Time between polls of the configuration head and of the host view.",
             unit="seconds",
             ge=0.1,
             le=2,
@@ -164,7 +168,7 @@
     store_timeout_s: Annotated[
         float,
         documented(
-            "Time limit of a call to the table service or object store.",
+            "Timeout of a call to the table service or object store.",
             unit="seconds",
             ge=0.05,
             le=5,
@@ -172,5 +176,5 @@
     ] = 1.0
     log_level: Annotated[
         Literal["debug", "info", "warning", "error"],
-        documented("Lowest level of the log lines written."),
+        documented("Minimum level of log lines."),
     ] = "info"
--- a/src/sycamorecroft/settings/fields.py
+++ b/src/sycamorecroft/settings/fields.py
@@ -1,4 +1,4 @@
-"""Base of settings and documentation of their fields."""
+"""Base class of settings, and documentation of their fields."""
 
 from typing import Any
 
@@ -11,16 +11,16 @@
     """
     :param description: what the field does, as a sentence.
     :param unit: unit of the value, empty if it has none.
-    :param allowed: allowed values where ``limits`` don't tell.
-    :param limits: limits that msgspec enforces, such as ``ge`` and ``le``.
-    :returns: annotation of a settings field.
+    :param allowed: allowed values, if not given by ``limits``.
+    :param limits: constraints that msgspec enforces, such as ``ge`` and ``le``.
+    :returns: metadata for the annotation of a settings field.
     """
     extra = {"unit": unit, "allowed": allowed}
     return msgspec.Meta(description=description, extra=extra, **limits)
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """Base of settings. Tokens don't show in its text form, which may be logged."""
+    """Base class of settings. Its ``repr`` hides tokens, since it may be logged."""
 
     def __repr__(self) -> str:
         fields = ", ".join(
--- a/src/sycamorecroft/settings/node.py
+++ b/src/sycamorecroft/settings/node.py
@@ -1,4 +1,4 @@
-"""Settings of a node: the daemon of an entry host on the users' machines."""
+"""Settings of a node: the daemon of an entry host in the users' own fleet."""
 
 from typing import Annotated, Literal
 
@@ -10,51 +10,57 @@
 class StoreSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """The platform's store of rows."""
+    """Settings of the platform's table store."""
 
     address: Annotated[str, documented("Address of the store.", allowed="`IP:port`")]
     row_limit_bytes: Annotated[
-        int, documented("Longest value of a row.", unit="bytes", ge=1024)
+        int, documented("Maximum size of the value of a row.", unit="bytes", ge=1024)
     ]
 
 
-class MachineSettings(
+class HostControlSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Control of the machines."""
+    """Settings of the service that controls the hosts on which workers run."""
 
-    address: Annotated[str, documented("Address of the service.", allowed="`IP:port`")]
+    address: Annotated[
+        str, documented("Address of the host control service.", allowed="`IP:port`")
+    ]
     lease_ms: Annotated[
         int,
         documented(
-            "Two hosts must not give orders for one machine within this time.",
+            "Two entry hosts must not send operations for the same host within this "
+            "time.",
             unit="ms",
             ge=0,
         ),
     ]
 
 
-class BoundSettings(
+class PlatformLimitSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Bounds that the platform sets."""
+    """Limits set by the platform."""
 
     grace_s: Annotated[
         float, documented("Time from SIGTERM to SIGKILL.", unit="s", gt=0)
     ]
     lease_max_ms: Annotated[
-        int, documented("Longest lease that a worker grants.", unit="ms", ge=100)
+        int, documented("Maximum lease that a worker grants.", unit="ms", ge=100)
     ]
     status_s: Annotated[
-        float, documented("How long an ended job can be asked for.", unit="s", ge=0)
+        float,
+        documented(
+            "How long the status of a finished job can be queried.", unit="s", ge=0
+        ),
     ]
     upkeep_s: Annotated[
-        float, documented("Duration of a machine's upkeep.", unit="s", ge=0)
+        float, documented("Duration of the upkeep of a host.", unit="s", ge=0)
     ]
 
 
 class NodeSettings(Settings, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Settings of one node."""
+    """Settings of a node."""
 
     host: Annotated[str, documented("Name of this entry host.", min_length=1)]
     data_centre: Annotated[str, documented("Data centre of this entry host.")]
@@ -67,16 +73,21 @@
     metrics_address: Annotated[
         str, documented("Listen address for metrics.", allowed="`IP:port`")
     ]
-    store: Annotated[StoreSettings, documented("The platform's store.")]
-    machines: Annotated[MachineSettings, documented("Control of the machines.")]
+    store: Annotated[StoreSettings, documented("The platform's table store.")]
+    machines: Annotated[
+        HostControlSettings, documented("Service that controls the hosts.")
+    ]
     advice_address: Annotated[
-        str, documented("Service that approves workers; empty if there is none.")
+        str,
+        documented(
+            "Address of the service that approves workers; empty if there is none."
+        ),
     ] = ""
-    bounds: Annotated[BoundSettings, documented("Bounds that the platform sets.")]
+    bounds: Annotated[PlatformLimitSettings, documented("Limits set by the platform.")]
     thread_count: Annotated[
         int, documented("Threads that serve callers.", ge=4, le=512)
     ] = 48
     log_level: Annotated[
         Literal["debug", "info", "warning", "error"],
-        documented("Lowest level of the log lines written."),
+        documented("Minimum level of log lines."),
     ] = "info"
--- a/src/sycamorecroft/settings/reference.py
+++ b/src/sycamorecroft/settings/reference.py
@@ -1,7 +1,7 @@
-"""Prints the reference of settings: ``python -m sycamorecroft.settings.reference``.
+"""Prints the settings reference: ``python -m sycamorecroft.settings.reference``.
 
-The text is made from the annotations of the settings, so that the page, the defaults
-and the checks can't differ. ``docs/settings.md`` holds the output.
+The text is generated from the annotations of the settings, so that the page always
+matches the defaults and the checks. ``docs/settings.md`` holds the output.
 """
 
 import sys
@@ -10,20 +10,20 @@
 
 import msgspec
 
-from sycamorecroft.settings.daemon import DaemonSettings, EntryAddress
+from sycamorecroft.settings.daemon import DaemonSettings, EntryHostAddress
 from sycamorecroft.settings.node import (
-    BoundSettings,
-    MachineSettings,
+    HostControlSettings,
     NodeSettings,
+    PlatformLimitSettings,
     StoreSettings,
 )
 from sycamorecroft.settings.tool import ToolSettings
 
-_INTRODUCTION = """\
+_HEADER = """\
 # Settings
 
-Settings are files of JSON with comments. Unknown keys, repeated keys and values out of
-range are errors that name the file, the key, the value and what is allowed.
+Settings files are JSON with comments. Unknown keys, repeated keys and values out of
+range are errors that name the file, the key, the value and the allowed values.
 `deployments/` has a commented file for each site.
 
 This page is the output of `python -m sycamorecroft.settings.reference`.
@@ -31,28 +31,30 @@
 
 _SECTIONS = (
     ("Daemon", DaemonSettings),
-    ("Entries of `entries`", EntryAddress),
+    ("Entries of `entries`", EntryHostAddress),
     ("Command-line tool", ToolSettings),
-    ("Node on the users' machines", NodeSettings),
+    ("Node", NodeSettings),
     ("Node: `store`", StoreSettings),
-    ("Node: `machines`", MachineSettings),
-    ("Node: `bounds`", BoundSettings),
+    ("Node: `machines`", HostControlSettings),
+    ("Node: `bounds`", PlatformLimitSettings),
 )
 
 
 def reference_text() -> str:
     """
-    :returns: the page as Markdown.
+    :returns: the settings reference as Markdown.
     """
-    sections = ("".join(_section(title, kind)) for title, kind in _SECTIONS)
-    return "\n".join((_INTRODUCTION, *sections))
+    sections = (
+        "".join(_section(title, struct_type)) for title, struct_type in _SECTIONS
+    )
+    return "\n".join((_HEADER, *sections))
 
 
-def _section(title: str, kind: type[msgspec.Struct]) -> Iterator[str]:
+def _section(title: str, struct_type: type[msgspec.Struct]) -> Iterator[str]:
     yield f"## {title}\n\n"
     yield "| Key | Default | Unit | Allowed | Meaning |\n|---|---|---|---|---|\n"
-    types = msgspec.inspect.type_info(kind).fields
-    for field, info in zip(msgspec.structs.fields(kind), types, strict=True):
+    types = msgspec.inspect.type_info(struct_type).fields
+    for field, info in zip(msgspec.structs.fields(struct_type), types, strict=True):
         description, unit, allowed = _documentation(field.type)
         cells = (
             f"`{field.encode_name}`",
@@ -68,7 +70,7 @@
     for meta in reversed(annotation.__metadata__):
         if meta.description:
             return meta.description, meta.extra["unit"], meta.extra["allowed"]
-    message = f"{annotation} has no description; annotate it with documented()"
+    message = f"{annotation} has no description; annotate the field with documented()"
     raise TypeError(message)
 
 
@@ -78,23 +80,23 @@
     return f"`{msgspec.json.encode(field.default).decode()}`"
 
 
-def _allowed(kind: Any) -> str:
-    while isinstance(kind, msgspec.inspect.Metadata):
-        kind = kind.type
-    if isinstance(kind, msgspec.inspect.LiteralType):
-        return ", ".join(f"`{value}`" for value in kind.values)
-    if isinstance(kind, (msgspec.inspect.IntType, msgspec.inspect.FloatType)):
-        return _range(kind)
-    if isinstance(kind, msgspec.inspect.CollectionType):
-        return f"{kind.min_length} to {kind.max_length} entries"
+def _allowed(value_type: Any) -> str:
+    while isinstance(value_type, msgspec.inspect.Metadata):
+        value_type = value_type.type
+    if isinstance(value_type, msgspec.inspect.LiteralType):
+        return ", ".join(f"`{value}`" for value in value_type.values)
+    if isinstance(value_type, (msgspec.inspect.IntType, msgspec.inspect.FloatType)):
+        return _range(value_type)
+    if isinstance(value_type, msgspec.inspect.CollectionType):
+        return f"{value_type.min_length} to {value_type.max_length} entries"
     return ""
 
 
-def _range(kind: Any) -> str:
-    low = kind.ge if kind.ge is not None else kind.gt
-    if kind.le is not None:
-        return f"{_number(low)} to {_number(kind.le)}"
-    return f"{'from' if kind.ge is not None else 'above'} {_number(low)}"
+def _range(value_type: Any) -> str:
+    minimum = value_type.ge if value_type.ge is not None else value_type.gt
+    if value_type.le is not None:
+        return f"{_number(minimum)} to {_number(value_type.le)}"
+    return f"{'from' if value_type.ge is not None else 'above'} {_number(minimum)}"
 
 
 def _number(value: float) -> str:
--- a/src/sycamorecroft/settings/tests/test_loading.py
+++ b/src/sycamorecroft/settings/tests/test_loading.py
@@ -19,8 +19,8 @@
     "platform_url": "http://127.0.0.1:90",
 }
 
-# Changed keys, the path that the message must name, and what it must say is allowed.
-REFUSED = {
+# For each case: changed keys, and the path and the rule that the message must name.
+INVALID_SETTINGS = {
     "unknown key": ({"thread_counts": 9}, "thread_counts", "did you mean"),
     "wrong type": ({"thread_count": "9"}, "thread_count", "Expected `int`"),
     "out of range": ({"poll_interval_s": 30}, "poll_interval_s", "<= 2.0"),
@@ -55,64 +55,68 @@
 
 
 def _write(tmp_path, changes):
-    dropped = changes.get("drop")
+    dropped_key = changes.get("drop")
     document = {**VALID, **{key: changes[key] for key in changes if key != "drop"}}
-    document.pop(dropped, None)
+    document.pop(dropped_key, None)
     path = tmp_path / "daemon.jsonc"
     path.write_text("// settings\n" + json.dumps(document), encoding="utf-8")
     return path
 
 
-# Guards against a daemon that starts with a value that breaks it later, and against
-# messages that leave the operator to guess.
-@pytest.mark.parametrize("case", REFUSED)
-def test_bad_setting_is_refused_with_place_and_rule(tmp_path, case):
-    changes, key, allowed = REFUSED[case]
+@pytest.mark.parametrize("case", INVALID_SETTINGS)
+def test_invalid_setting_is_rejected_with_path_and_rule(tmp_path, case):
+    """Guards against a daemon that starts with an invalid value and fails later, and
+    against messages that don't name the path and the rule.
+    """
+    changes, key, allowed = INVALID_SETTINGS[case]
     path = _write(tmp_path, changes)
-    with pytest.raises(SettingsError) as caught:
+    with pytest.raises(SettingsError) as error_info:
         load_settings(path)
-    assert str(caught.value).startswith(f"{path}: {key}: got ")
-    assert allowed in str(caught.value)
+    assert str(error_info.value).startswith(f"{path}: {key}: got ")
+    assert allowed in str(error_info.value)
 
 
-# Guards against files of which a part is silently ignored.
 @pytest.mark.parametrize(
     "text", ["", "{", '{"entry": 1, "entry": 2}', '{"poll_interval_s": NaN}']
 )
-def test_malformed_file_is_refused(tmp_path, text):
+def test_malformed_file_is_rejected(tmp_path, text):
+    """Guards against malformed files whose content is silently ignored in part."""
     path = tmp_path / "daemon.jsonc"
     path.write_text(text, encoding="utf-8")
     with pytest.raises(SettingsError, match=re.escape(str(path))):
         load_settings(path)
 
 
-def test_missing_file_is_refused(tmp_path):
+def test_missing_file_is_rejected(tmp_path):
+    """Guards against a daemon that starts without its settings file."""
     with pytest.raises(SettingsError, match="can't be read"):
         load_settings(tmp_path / "absent.jsonc")
 
 
-# Guards against a token in log lines.
-def test_message_does_not_show_the_token(tmp_path):
-    with pytest.raises(SettingsError, match="operator_token") as caught:
+def test_error_message_hides_the_token(tmp_path):
+    """Guards against tokens in log lines."""
+    with pytest.raises(SettingsError, match="operator_token") as error_info:
         load_settings(_write(tmp_path, {"operator_token": "s3cret"}))
-    assert "s3cret" not in str(caught.value)
+    assert "s3cret" not in str(error_info.value)
 
 
 def test_token_allows_listening_beyond_loopback(tmp_path):
+    """Guards against rejecting a public address that is protected by a token."""
     changes = {"http_address": "[2001:db8::1]:80", "operator_token": "0123456789abcdef"}
     settings = load_settings(_write(tmp_path, changes))
     assert str(parse_address(settings.http_address).ip) == "2001:db8::1"
     assert settings.operator_token not in repr(settings)
 
 
-def test_tool_settings_refuse_host_names(tmp_path):
+def test_tool_settings_reject_host_names(tmp_path):
+    """Guards against daemon URLs that need name resolution."""
     path = tmp_path / "tool.jsonc"
     path.write_text('{"daemon_urls": ["http://daemon:80"]}', encoding="utf-8")
     with pytest.raises(SettingsError, match=re.escape("daemon_urls[0]")):
         load_tool_settings(path)
 
 
-# Guards against a page that differs from the checks in force.
-def test_committed_reference_is_current():
+def test_settings_page_is_current():
+    """Guards against a settings page that differs from the checks."""
     page = (ROOT / "docs" / "settings.md").read_text(encoding="utf-8")
     assert page == reference_text(), "run python -m sycamorecroft.settings.reference"
--- a/tests/test_node_path.py
+++ b/tests/test_node_path.py
@@ -11,8 +11,8 @@
 from sycamorecroft.clock import BoottimeClock
 from sycamorecroft.node.node import Node
 from sycamorecroft.settings.node import (
-    BoundSettings,
-    MachineSettings,
+    PlatformLimitSettings,
+    HostControlSettings,
     NodeSettings,
     StoreSettings,
 )
@@ -79,8 +79,8 @@
             ready_address=addresses[1],
             metrics_address=addresses[2],
             store=StoreSettings(address=self.store.address, row_limit_bytes=65536),
-            machines=MachineSettings(address=self.machines.address, lease_ms=3000),
-            bounds=BoundSettings(
+            machines=HostControlSettings(address=self.machines.address, lease_ms=3000),
+            bounds=PlatformLimitSettings(
                 grace_s=6, lease_max_ms=10000, status_s=120, upkeep_s=2
             ),
         )
