--- a/benchmarks/flood_sites.py
+++ b/benchmarks/flood_sites.py
@@ -18,10 +18,10 @@
     site_configuration,
     site_view,
 )
-from sycamorecroft.admission.entry_limit import (
-    PLACES_COUNT,
-    EntryFlow,
-    EntryLimit,
+from sycamorecroft.admission.in_flight_limit import (
+    REQUESTS_LIMIT_COUNT,
+    RequestFlow,
+    InFlightLimit,
 )
 from sycamorecroft.routing.messages import SlotGrant, SlotRelease, SlotRequest
 from sycamorecroft.routing.owner import Membership, QueueOwner
@@ -101,7 +101,7 @@
             )
             for service in SERVICES
         }
-        self._limits = [EntryLimit(len(SERVICES)) for _ in range(ENTRIES_COUNT)]
+        self._limits = [InFlightLimit(len(SERVICES)) for _ in range(ENTRIES_COUNT)]
         self._arrivals: dict[str, Arrival] = {}
         self.at(TICK_S, self._tick)
         if scenario.entries_killed_count:
@@ -176,12 +176,12 @@
     def _leave(
         self, arrival: Arrival, started_s: float | None, slot_s: float, reason: str
     ) -> None:
-        self._limits[arrival.entry].leave(_flow(arrival), 0)
+        self._limits[arrival.entry].release(_flow(arrival), 0)
         self.finish(arrival, started_s, slot_s, reason)
 
 
-def _flow(arrival: Arrival) -> EntryFlow:
-    return EntryFlow(arrival.service, arrival.urgency, arrival.team)
+def _flow(arrival: Arrival) -> RequestFlow:
+    return RequestFlow(arrival.service, arrival.urgency, arrival.team)
 
 
 class _Job:
@@ -222,7 +222,7 @@
 
     def _fill_places(self, entry: int) -> None:
         queue = self._queues[entry]
-        while queue and self._places_used[entry] < PLACES_COUNT:
+        while queue and self._places_used[entry] < REQUESTS_LIMIT_COUNT:
             job = queue.popleft()
             if job.has_ended:
                 continue
--- a/src/sycamorecroft/admission/__init__.py
+++ b/src/sycamorecroft/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission control: queue of a service at its owner, and limits of an entry host."""
+"""Admission control: the queue of each service and the limits of an entry host."""
 
 from sycamorecroft.admission.reasons import AdmissionRefusal
 from sycamorecroft.admission.service_queue import ServiceQueue
--- a/src/sycamorecroft/admission/class_queue.py
+++ b/src/sycamorecroft/admission/class_queue.py
@@ -1,4 +1,4 @@
-"""Queue of one urgency class: fair queueing by team, adaptive order within a team."""
+"""Queue of one urgency class: fair queueing over teams, CoDel order within a team."""
 
 import heapq
 from collections import OrderedDict
@@ -7,47 +7,54 @@
 from sycamorecroft.admission.estimate import ServiceTimeEstimate
 from sycamorecroft.routing.messages import SlotRequest
 
-# A team's queue whose oldest request has waited longer than the target during a whole
-# interval is overloaded (CoDel; values of section 5.7 of docs/design.md).
-DELAY_TARGET_S = 0.1
-DELAY_INTERVAL_S = 0.5
+# CoDel parameters (docs/design.md, section 5.7): a team's queue is overloaded once its
+# oldest request has waited longer than the target for a whole interval.
+WAIT_TARGET_S = 0.1
+WAIT_INTERVAL_S = 0.5
 
-# Cost of a request while no service time is known; must be above zero so that teams
-# alternate.
-SHORTEST_COST_S = 0.001
+# Cost of a request while no service time is known. It must be above zero so that the
+# finish tags advance and teams alternate.
+MIN_COST_S = 0.001
 
 
 class QueuedRequest:
-    """Request that waits, with its cost and the latest time at which it may start."""
+    """Waiting request with its estimated cost and its latest start time."""
 
-    __slots__ = ("arrived_s", "cost_s", "is_live", "latest_start_s", "request", "team")
+    __slots__ = (
+        "cost_s",
+        "is_waiting",
+        "latest_start_s",
+        "queued_at_s",
+        "request",
+        "team",
+    )
 
     def __init__(
         self,
         request: SlotRequest,
         team: "TeamQueue",
-        arrived_s: float,
+        queued_at_s: float,
         cost_s: float,
         latest_start_s: float,
     ) -> None:
         self.request = request
         self.team = team
-        self.arrived_s = arrived_s
+        self.queued_at_s = queued_at_s
         self.cost_s = cost_s
         self.latest_start_s = latest_start_s
-        self.is_live = True
+        self.is_waiting = True
 
 
 class TeamQueue:
-    """Requests of one team in one class, with its position in virtual time."""
+    """Waiting requests of one team in one class, and its finish tag in virtual time."""
 
     __slots__ = (
-        "above_since_s",
+        "above_target_since_s",
         "backlog_s",
-        "correction",
+        "cost_correction",
         "estimate",
         "finish_tag",
-        "is_listed",
+        "is_scheduled",
         "name",
         "requests",
         "weight",
@@ -59,21 +66,21 @@
         self.requests: OrderedDict[str, QueuedRequest] = OrderedDict()
         self.backlog_s = 0.0
         self.finish_tag = 0.0
-        self.correction = 0.0
-        self.is_listed = False
+        self.cost_correction = 0.0
+        self.is_scheduled = False
         self.estimate = ServiceTimeEstimate()
-        self.above_since_s: float | None = None
+        self.above_target_since_s: float | None = None
 
-    def charge(self, start_tag: float, cost_s: float) -> None:
-        """Advances the position in virtual time, with corrections since the last."""
+    def advance_finish_tag(self, start_tag: float, cost_s: float) -> None:
+        """Advances the finish tag by the cost and the accumulated corrections."""
         self.finish_tag = start_tag + cost_s / self.weight
-        self.finish_tag = max(start_tag, self.finish_tag + self.correction)
-        self.correction = 0.0
+        self.finish_tag = max(start_tag, self.finish_tag + self.cost_correction)
+        self.cost_correction = 0.0
 
     def take(self, now_s: float) -> QueuedRequest:
-        """Removes the next request: oldest first, newest first while overloaded."""
-        newest_first = self._is_overloaded(now_s)
-        _, queued = self.requests.popitem(last=newest_first)
+        """Removes and returns the oldest request, or the newest while overloaded."""
+        is_newest_first = self._is_overloaded(now_s)
+        _, queued = self.requests.popitem(last=is_newest_first)
         self._account_removal(queued)
         return queued
 
@@ -82,32 +89,32 @@
         self._account_removal(queued)
 
     def _account_removal(self, queued: QueuedRequest) -> None:
-        queued.is_live = False
+        queued.is_waiting = False
         self.backlog_s -= queued.cost_s
         if not self.requests:
             self.backlog_s = 0.0
-            self.above_since_s = None
+            self.above_target_since_s = None
 
     def _is_overloaded(self, now_s: float) -> bool:
         oldest = next(iter(self.requests.values()))
-        if now_s - oldest.arrived_s < DELAY_TARGET_S:
-            self.above_since_s = None
+        if now_s - oldest.queued_at_s < WAIT_TARGET_S:
+            self.above_target_since_s = None
             return False
-        if self.above_since_s is None:
-            self.above_since_s = now_s
-        return now_s - self.above_since_s >= DELAY_INTERVAL_S
+        if self.above_target_since_s is None:
+            self.above_target_since_s = now_s
+        return now_s - self.above_target_since_s >= WAIT_INTERVAL_S
 
 
 class ClassQueue:
     """Start-time fair queueing over teams (Goyal, Vin and Cheng, SIGCOMM 1996).
 
-    The cost of a request is its estimated service time, corrected when it ends, so
-    that teams share slot time rather than numbers of requests.
+    The cost of a request is its estimated service time, corrected when it finishes,
+    so that teams share slot time and not the number of requests.
     """
 
     def __init__(self) -> None:
         self._teams: dict[str, TeamQueue] = {}
-        self._listed: list[tuple[float, int, TeamQueue]] = []
+        self._schedule: list[tuple[float, int, TeamQueue]] = []
         self._sequence = count()
         self._virtual_time = 0.0
         self.waiting_count = 0
@@ -116,7 +123,7 @@
 
     def team(self, name: str, weight: float) -> TeamQueue:
         """
-        :returns: the queue of the team, created on first use.
+        :returns: queue of the team, created on first use.
         """
         team = self._teams.get(name)
         if team is None:
@@ -124,7 +131,7 @@
         return team
 
     def set_weights(self, weights: dict[str, float], default_weight: float) -> None:
-        """Applies new weights; forgets idle teams that have none."""
+        """Applies new weights; removes the queues of idle teams without a weight."""
         for name, team in list(self._teams.items()):
             if name not in weights and not team.requests:
                 del self._teams[name]
@@ -138,10 +145,10 @@
         team = queued.team
         if not team.requests:
             self.waiting_weight += team.weight
-            if not team.is_listed:
-                team.finish_tag += team.correction
-                team.correction = 0.0
-                self._list(team, max(self._virtual_time, team.finish_tag))
+            if not team.is_scheduled:
+                team.finish_tag += team.cost_correction
+                team.cost_correction = 0.0
+                self._schedule_team(team, max(self._virtual_time, team.finish_tag))
         team.requests[queued.request.ticket] = queued
         team.backlog_s += queued.cost_s
         self.backlog_s += queued.cost_s
@@ -149,31 +156,33 @@
 
     def next_team(self) -> str | None:
         """
-        :returns: the team whose request :meth:`take` would return.
+        :returns: name of the team that :meth:`take` would serve, ``None`` if no
+            request waits.
         """
-        while self._listed:
-            team = self._listed[0][2]
+        while self._schedule:
+            team = self._schedule[0][2]
             if team.requests:
                 return team.name
-            heapq.heappop(self._listed)
-            team.is_listed = False
+            heapq.heappop(self._schedule)
+            team.is_scheduled = False
         return None
 
     def take(self, now_s: float) -> QueuedRequest | None:
+        """Removes the next request of the team with the smallest start tag.
+
+        :returns: the request, ``None`` if none waits.
         """
-        :returns: the next request of the team with the least start tag.
-        """
-        while self._listed:
-            start_tag, _, team = heapq.heappop(self._listed)
-            team.is_listed = False
+        while self._schedule:
+            start_tag, _, team = heapq.heappop(self._schedule)
+            team.is_scheduled = False
             if not team.requests:
                 continue
             queued = team.take(now_s)
             self._account_removal(queued)
             self._virtual_time = max(self._virtual_time, start_tag)
-            team.charge(start_tag, queued.cost_s)
+            team.advance_finish_tag(start_tag, queued.cost_s)
             if team.requests:
-                self._list(team, team.finish_tag)
+                self._schedule_team(team, team.finish_tag)
             return queued
         return None
 
@@ -181,14 +190,14 @@
         queued.team.remove(queued)
         self._account_removal(queued)
 
-    def correct(self, queued: QueuedRequest, service_time_s: float) -> None:
-        """Charges the difference between actual and estimated service time."""
+    def correct_cost(self, queued: QueuedRequest, service_time_s: float) -> None:
+        """Charges the team for the difference of actual and estimated service time."""
         team = queued.team
-        team.correction += (service_time_s - queued.cost_s) / team.weight
+        team.cost_correction += (service_time_s - queued.cost_s) / team.weight
 
-    def _list(self, team: TeamQueue, start_tag: float) -> None:
-        team.is_listed = True
-        heapq.heappush(self._listed, (start_tag, next(self._sequence), team))
+    def _schedule_team(self, team: TeamQueue, start_tag: float) -> None:
+        team.is_scheduled = True
+        heapq.heappush(self._schedule, (start_tag, next(self._sequence), team))
 
     def _account_removal(self, queued: QueuedRequest) -> None:
         self.waiting_count -= 1
--- a/src/sycamorecroft/admission/tests/test_service_queue.py
+++ b/src/sycamorecroft/admission/tests/test_service_queue.py
@@ -11,12 +11,12 @@
     return SlotRequest(f"{number}", "e1", "rating", team, urgency, deadline_s, ())
 
 
-def offer(queue, item, now_s=0.0):
-    return queue.offer(item, now_s, SLOTS_COUNT, 0)
+def offer(queue, request_, now_s=0.0):
+    return queue.offer(request_, now_s, SLOTS_COUNT, 0)
 
 
-def learn(queue, service_time_s, now_s=0.0):
-    """Lets the queue see 20 requests of the given service time."""
+def record_service_times(queue, service_time_s, now_s=0.0):
+    """Records 20 completed requests with the given service time."""
     for number in range(20):
         offer(queue, request(f"learn-{number}"), now_s)
         queue.finish(queue.take(now_s, SLOTS_COUNT), service_time_s, now_s)
@@ -29,7 +29,7 @@
 
 
 def test_teams_share_slot_time_by_weight_whatever_they_queue():
-    # Guards against a team that gets more slots by queueing more, or longer, requests.
+    """Guards against a team that gains slot time by more or longer requests."""
     queue = ServiceQueue({"councils": 2.0, "inspectors": 1.0})
     flood(queue, 300, team="councils")
     flood(queue, 900, team="inspectors")
@@ -42,8 +42,8 @@
     assert 1.8 < slot_time_s["councils"] / slot_time_s["inspectors"] < 2.2
 
 
-def test_lower_classes_keep_their_floor_of_slot_time():
-    # Guards against starvation of normal and bulk work by an urgent flood.
+def test_lower_classes_keep_their_minimum_share_of_slot_time():
+    """Guards against starvation of normal and bulk requests by urgent ones."""
     queue = ServiceQueue({})
     for urgency in Urgency:
         flood(queue, 1000, urgency=urgency)
@@ -56,8 +56,8 @@
     assert 90 <= served[Urgency.BULK] <= 110
 
 
-def test_newest_first_once_a_team_is_overloaded():
-    # Guards against a queue in which each request waits until its deadline.
+def test_newest_request_goes_first_once_a_team_is_overloaded():
+    """Guards against a queue in which every request waits almost until its deadline."""
     queue = ServiceQueue({})
     for number in range(10):
         offer(queue, request(number))
@@ -69,52 +69,56 @@
 
 def test_arrival_is_refused_when_the_wait_exceeds_the_remaining_time():
     queue = ServiceQueue({})
-    learn(queue, 0.1)
+    record_service_times(queue, 0.1)
     reasons = [offer(queue, request(n, deadline_s=1.0)) for n in range(100)]
     # 4 slots and 0.1 s: about 36 requests can start within 0.9 s.
     assert 30 <= reasons.count(None) <= 40
     assert set(reasons) == {None, AdmissionRefusal.EXPECTED_WAIT}
 
 
-def test_urgent_work_that_cannot_start_in_time_is_refused_on_arrival_and_in_queue():
+def test_urgent_request_beyond_the_wait_limit_is_refused_on_arrival_and_in_queue():
     queue = ServiceQueue({})
-    learn(queue, 0.1)
+    record_service_times(queue, 0.1)
     reasons = [offer(queue, request(n, urgency=Urgency.URGENT)) for n in range(100)]
     assert 45 <= reasons.count(None) <= 54
     assert reasons[-1] is AdmissionRefusal.URGENT_WAIT
     refused = queue.expire(1.26)
     assert len(refused) == reasons.count(None)
-    assert {item.reason for item in refused} == {AdmissionRefusal.URGENT_WAIT}
+    assert {refusal.reason for refusal in refused} == {AdmissionRefusal.URGENT_WAIT}
     assert len(queue) == 0
 
 
 def test_request_that_cannot_meet_its_deadline_leaves_the_queue():
-    # Guards against slot time spent on responses that come too late.
+    """Guards against slot time spent on responses after the deadline."""
     queue = ServiceQueue({})
-    learn(queue, 0.5)
+    record_service_times(queue, 0.5)
     assert offer(queue, request("a", deadline_s=0.4)) is AdmissionRefusal.DEADLINE
     assert offer(queue, request("b", deadline_s=2.0)) is None
     assert queue.expire(1.0) == []
     assert queue.expire(1.6)[0].reason is AdmissionRefusal.DEADLINE
 
 
-def test_stale_estimate_does_not_refuse_for_good():
-    # Guards against a service that admits nothing after one slow spell, and so never
-    # learns that it is fast again.
+def test_stale_estimate_decays():
+    """Guards against a service that refuses all requests after a slow period.
+
+    Without admitted requests it gets no sample that would lower the estimate.
+    """
     queue = ServiceQueue({})
-    learn(queue, 5.0)
+    record_service_times(queue, 5.0)
     assert offer(queue, request("a", deadline_s=1.0)) is AdmissionRefusal.DEADLINE
     assert offer(queue, request("b", deadline_s=61.0), now_s=60.0) is None
 
 
 def test_urgent_overload_of_a_team_leaves_the_others_their_share():
-    # Guards against normal work of other teams waiting behind one team's urgent
-    # requests beyond its share; within its share, urgent work goes first.
+    """Guards against one team's urgent requests delaying the other teams' requests.
+
+    Urgent requests have priority only within the share of their team.
+    """
     queue = ServiceQueue({})
     flood(queue, 100, team="hotline", urgency=Urgency.URGENT)
     flood(queue, 100, team="inspectors", urgency=Urgency.NORMAL)
     held = [queue.take(0.0, SLOTS_COUNT) for _ in range(SLOTS_COUNT)]
-    assert [item.request.team for item in held] == [
+    assert [queued.request.team for queued in held] == [
         "hotline",
         "hotline",
         "inspectors",
--- a/src/sycamorecroft/cli/tests/test_fleet_commands.py
+++ b/src/sycamorecroft/cli/tests/test_fleet_commands.py
@@ -9,7 +9,7 @@
 
 from standins.memory_fleet import MemoryFleet, PoolShape
 from standins.site import ROOT
-from sycamorecroft.admission.entry_limit import EntryLimit
+from sycamorecroft.admission.in_flight_limit import InFlightLimit
 from sycamorecroft.cli.exit_codes import ExitCode
 from sycamorecroft.cli.main import main
 from sycamorecroft.clock import SystemClock
@@ -88,7 +88,7 @@
         )
         callers = CallerHandlers(
             RefusingExecutor(),
-            EntryLimit(5),
+            InFlightLimit(5),
             lambda: configuration,
             clock,
             RequestReporter(SilentTelemetry(), self.records, clock),
--- a/src/sycamorecroft/daemon/request_path.py
+++ b/src/sycamorecroft/daemon/request_path.py
@@ -5,7 +5,7 @@
 
 import pykka
 
-from sycamorecroft.admission.entry_limit import EntryLimit
+from sycamorecroft.admission.in_flight_limit import InFlightLimit
 from sycamorecroft.claims.service import ClaimService
 from sycamorecroft.clock import Clock
 from sycamorecroft.daemon.store import PlatformClients
@@ -19,7 +19,7 @@
 class RequestPath(NamedTuple):
     """Parts that all requests of an entry host share."""
 
-    limit: EntryLimit
+    limit: InFlightLimit
     claims: ClaimService
     dispatcher: Dispatcher
     executor: RequestExecutor
@@ -36,10 +36,10 @@
     :param requester: reference of the actor that owns the slot requests.
     :param wake: called before a slot is requested, so that ticks become frequent.
     """
-    limit = EntryLimit(
+    limit = InFlightLimit(
         1,
-        places_count=settings.admitted_limit_count,
-        body_budget_bytes=settings.in_flight_limit_bytes,
+        requests_limit_count=settings.admitted_limit_count,
+        body_limit_bytes=settings.in_flight_limit_bytes,
     )
     claims = ClaimService(platform.tables, platform.objects, clock)
     dispatcher = Dispatcher(clock, response_limit_bytes=settings.body_limit_bytes)
--- a/src/sycamorecroft/entry/callers.py
+++ b/src/sycamorecroft/entry/callers.py
@@ -4,7 +4,7 @@
 
 from werkzeug.wrappers import Request
 
-from sycamorecroft.admission.entry_limit import EntryFlow, EntryLimit
+from sycamorecroft.admission.in_flight_limit import RequestFlow, InFlightLimit
 from sycamorecroft.clock import Clock
 from sycamorecroft.configuration.fleet import FleetConfiguration
 from sycamorecroft.entry.application import Answer, Route
@@ -35,7 +35,7 @@
     def __init__(
         self,
         executor: RequestExecutor,
-        limit: EntryLimit,
+        limit: InFlightLimit,
         configuration: Callable[[], FleetConfiguration | None],
         clock: Clock,
         reporter: RequestReporter,
@@ -81,7 +81,7 @@
         self, parsed: CallerRequest, trace: RequestTrace
     ) -> Execution:
         service, size_bytes = parsed.service.name, len(parsed.body)
-        flow = EntryFlow(service, parsed.urgency, parsed.team)
+        flow = RequestFlow(service, parsed.urgency, parsed.team)
         refusal = self._limit.admit(flow, size_bytes)
         trace.admission = refusal or ADMITTED
         if refusal is not None:
@@ -90,7 +90,7 @@
         try:
             execution = self._execute(parsed, trace.started_s)
         finally:
-            self._limit.leave(flow, size_bytes)
+            self._limit.release(flow, size_bytes)
         trace.steps = execution.steps
         return self._require_response(execution, service)
 
--- a/src/sycamorecroft/entry/tests/test_security.py
+++ b/src/sycamorecroft/entry/tests/test_security.py
@@ -9,7 +9,7 @@
 
 from standins.memory_tables import MemoryTables
 from standins.site import ROOT
-from sycamorecroft.admission.entry_limit import EntryLimit
+from sycamorecroft.admission.in_flight_limit import InFlightLimit
 from sycamorecroft.clock import ManualClock
 from sycamorecroft.configuration import (
     compile_configuration,
@@ -83,7 +83,7 @@
 def client(configuration, clock, records, telemetry):
     reporter = RequestReporter(telemetry, records, clock)
     callers = CallerHandlers(
-        FakeExecutor(), EntryLimit(5), lambda: configuration, clock, reporter
+        FakeExecutor(), InFlightLimit(5), lambda: configuration, clock, reporter
     )
     store = JobStore(MemoryTables(), clock)
     jobs = JobHandlers(store, lambda: configuration, clock)
