--- a/benchmarks/flood_sites.py
+++ b/benchmarks/flood_sites.py
@@ -24,7 +24,7 @@
     InFlightLimit,
 )
 from sycamorecroft.routing.messages import SlotGrant, SlotRelease, SlotRequest
-from sycamorecroft.routing.owner import Membership, QueueOwner
+from sycamorecroft.routing.owner import QueueMembership, QueueOwner
 
 # One-way latency between data centres, taken for each message (section 1.2 of
 # docs/design.md).
@@ -95,7 +95,7 @@
                 service,
                 site_configuration(),
                 site_view(),
-                Membership(members, ENTRIES_COUNT),
+                QueueMembership(members, ENTRIES_COUNT),
                 0.0,
                 random=Random(scenario.seed),
             )
@@ -110,7 +110,7 @@
     def _kill_entries(self) -> None:
         left_count = ENTRIES_COUNT - self.scenario.entries_killed_count
         members = frozenset(f"e{number}" for number in range(left_count))
-        membership = Membership(members, ENTRIES_COUNT)
+        membership = QueueMembership(members, ENTRIES_COUNT)
         for owner in self._owners.values():
             self._handle(owner.membership_changed(membership, self.now_s))
 
--- a/benchmarks/owner.py
+++ b/benchmarks/owner.py
@@ -12,7 +12,7 @@
 from benchmarks.flood_load import SERVICES, TEAM_SHARES, site_configuration, site_view
 from sycamorecroft.configuration.fleet import Urgency
 from sycamorecroft.routing.messages import SlotGrant, SlotRelease, SlotRequest
-from sycamorecroft.routing.owner import Membership, QueueOwner
+from sycamorecroft.routing.owner import QueueMembership, QueueOwner
 
 WORKERS_COUNTS = (40, 200, 1000)
 SERVICE_TIME_S = 0.08
@@ -30,7 +30,7 @@
 
     def __init__(self, workers_count: int, outstanding_count: int, seed: int) -> None:
         self._random = Random(seed)
-        members = Membership(frozenset({"e0"}), 1)
+        members = QueueMembership(frozenset({"e0"}), 1)
         self._owner = QueueOwner(
             SERVICES[0],
             site_configuration(),
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -35,7 +35,7 @@
 from sycamorecroft.pools.records import HOSTS_TABLE
 from sycamorecroft.pools.view import PoolViewReader
 from sycamorecroft.pools.view_actor import encode_view
-from sycamorecroft.routing.owner import Membership, QueueOwner
+from sycamorecroft.routing.owner import QueueMembership, QueueOwner
 from sycamorecroft.rpc.gossip import GossipCodec
 from sycamorecroft.store.interfaces import Put, StorePurpose
 
@@ -212,7 +212,7 @@
 
 def owner_row(workers_count: int) -> Row:
     configuration, view = site_configuration(), site_view(workers_count)
-    members = Membership(frozenset({"e0"}), 1)
+    members = QueueMembership(frozenset({"e0"}), 1)
 
     def build() -> QueueOwner:
         return QueueOwner(SERVICES[0], configuration, view, members, 0.0)
--- a/properties/test_owner.py
+++ b/properties/test_owner.py
@@ -20,7 +20,7 @@
     SlotRelease,
     SlotRequest,
 )
-from sycamorecroft.routing.owner import Membership, QueueOwner
+from sycamorecroft.routing.owner import QueueMembership, QueueOwner
 
 ENTRIES = ("e1", "e2", "e3")
 HOSTS = ("w1", "w2", "w3", "w4")
@@ -97,7 +97,7 @@
 
     def __init__(self, random_seed):
         view = PoolView(1, {host: record(host) for host in HOSTS})
-        membership = Membership(frozenset(ENTRIES), len(ENTRIES))
+        membership = QueueMembership(frozenset(ENTRIES), len(ENTRIES))
         self.now_s = 0.0
         self.requests = []
         self.version = 1
@@ -188,7 +188,7 @@
             request.ticket, request.requester, "rating", host, request.deadline_s
         )
         self.model.held(held, self.now_s)
-        return self.owner.held(held, self.now_s)
+        return self.owner.restore_grant(held, self.now_s)
 
     def wait(self, duration_s):
         self.now_s += duration_s
@@ -204,7 +204,7 @@
         return decisions + self.owner.view_changed(view, self.now_s)
 
     def members(self, reached):
-        membership = Membership(frozenset(reached), len(ENTRIES))
+        membership = QueueMembership(frozenset(reached), len(ENTRIES))
         self.model.membership_changed(membership, self.now_s)
         return self.owner.membership_changed(membership, self.now_s)
 
@@ -216,7 +216,7 @@
         return self.owner.configuration_changed(changed, self.now_s)
 
     def hand_over(self):
-        decisions = self.owner.hand_over(self.now_s)
+        decisions = self.owner.transfer(self.now_s)
         assert len(decisions) == len(self.model.waiting)
         return decisions
 
--- a/properties/test_requester.py
+++ b/properties/test_requester.py
@@ -7,9 +7,9 @@
 from sycamorecroft.routing.interfaces import SlotDemand
 from sycamorecroft.routing.messages import SlotGrant
 from sycamorecroft.routing.requester import (
-    Complete,
+    CompleteTicket,
     Requester,
-    SendHeld,
+    SendHeldGrants,
     SendRelease,
     SendRequest,
 )
@@ -35,7 +35,7 @@
     def __init__(self):
         self.now_s = 0.0
         self.requester = Requester("e1")
-        self.requester.set_live(OWNERS, 0.0)
+        self.requester.set_live_entry_hosts(OWNERS, 0.0)
         self.requester.set_services(("rating",))
         self.waiting = {owner: set() for owner in OWNERS}
         self.granted = {owner: set() for owner in OWNERS}
@@ -51,10 +51,10 @@
                 case SendRelease(owner, release):
                     self.waiting[owner].discard(release.ticket)
                     self.granted[owner].discard(release.ticket)
-                case SendHeld(owner, _, held):
+                case SendHeldGrants(owner, _, held):
                     self.granted[owner] |= {grant.ticket for grant in held}
                     self.waiting[owner] -= {grant.ticket for grant in held}
-                case Complete(ticket, result):
+                case CompleteTicket(ticket, result):
                     assert ticket not in self.completed, "a ticket ended twice"
                     self.completed[ticket] = result
                     if isinstance(result, SlotGrant):
@@ -94,7 +94,7 @@
 
     def live(self, number):
         live = [o for bit, o in enumerate(OWNERS) if number >> bit & 1]
-        self.apply(self.requester.set_live(live or OWNERS, self.now_s))
+        self.apply(self.requester.set_live_entry_hosts(live or OWNERS, self.now_s))
 
     def tick(self, number):
         self.apply(self.requester.tick(self.now_s))
--- a/src/sycamorecroft/daemon/peers.py
+++ b/src/sycamorecroft/daemon/peers.py
@@ -14,7 +14,7 @@
 from sycamorecroft.membership.state import MemberDigest
 from sycamorecroft.pools.state import PoolView
 from sycamorecroft.pools.view_actor import ViewPeers, decode_view, encode_view
-from sycamorecroft.routing.requester_actor import FromOwner, StreamOpened
+from sycamorecroft.routing.requester_actor import OwnerBatchReceived, StreamOpened
 from sycamorecroft.rpc.client import PeerClient
 from sycamorecroft.rpc.codec import OwnerBatch, RequesterBatch
 from sycamorecroft.rpc.interfaces import DaemonSnapshot, OwnerListener, PeerHandler
@@ -107,7 +107,7 @@
         self._actors.owner.tell(batch)
 
     def receive_from_owner(self, owner: str, batch: OwnerBatch) -> None:
-        self._actors.requester.tell(FromOwner(owner, batch))
+        self._actors.requester.tell(OwnerBatchReceived(owner, batch))
 
     def stream_opened(self, owner: str) -> None:
         self._actors.requester.tell(StreamOpened(owner))
--- a/src/sycamorecroft/daemon/runtime.py
+++ b/src/sycamorecroft/daemon/runtime.py
@@ -71,7 +71,7 @@
     ViewChanged,
 )
 from sycamorecroft.routing.requester_actor import (
-    FromOwner,
+    OwnerBatchReceived,
     RequesterActor,
     RequesterStatusRequest,
     RequesterTick,
@@ -339,7 +339,7 @@
 
     def _send_to_requester(self, requester: str, batch: OwnerBatch) -> None:
         if requester == self._settings.entry:
-            self._requester.tell(FromOwner(requester, batch))
+            self._requester.tell(OwnerBatchReceived(requester, batch))
         else:
             self._outboxes.send(requester, batch)
 
--- a/src/sycamorecroft/routing/__init__.py
+++ b/src/sycamorecroft/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: slots of workers at the owner, dispatch at the requesting host."""
+"""Routing of requests: slot grants by queue owners, dispatch by the entry hosts."""
--- a/src/sycamorecroft/routing/dispatch.py
+++ b/src/sycamorecroft/routing/dispatch.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at a backend server, and what is known of its outcome."""
+"""Sends a request to a backend server once and classifies the outcome."""
 
 import logging
 from collections.abc import Mapping
@@ -13,28 +13,28 @@
 from sycamorecroft.clock import Clock
 from sycamorecroft.errors import InvariantError
 from sycamorecroft.invariants import check_answer_matches_request
-from sycamorecroft.routing.worker_connection import Attempt, worker_pool_class
+from sycamorecroft.routing.worker_connection import AttemptContext, worker_pool_class
 
 REQUEST_ID_HEADER = "Sycamorecroft-Request-Id"
 
 CONNECT_TIMEOUT_S = 0.3
-"""A hundred times the one-way latency between data centres; a lost SYN is
-retried elsewhere and not waited for."""
+"""A hundred times the one-way latency between data centres. After a lost SYN the
+request is retried on another worker instead of waiting for the retransmission."""
 
 RESPONSE_LIMIT_BYTES = 8 * 1024 * 1024
-"""Limit of a buffered body (section 5.7)."""
+"""Limit of a buffered response body (docs/design.md, section 5.7)."""
 
 CONNECTIONS_PER_WORKER_COUNT = 7
-"""Idle connections kept per worker: 9 entry hosts share its 64 connections."""
+"""Idle connections kept open per worker: 9 entry hosts share its 64 connections."""
 
-POOLS_COUNT = 1024
-READ_BYTES = 64 * 1024
+MAX_POOLS_COUNT = 1024
+READ_CHUNK_BYTES = 64 * 1024
 
-# urllib3 warns of each connection beyond the idle ones that are kept, which is normal
-# operation here.
+# urllib3 warns about each connection that exceeds the kept idle ones, which is normal
+# operation for the dispatcher.
 logging.getLogger("urllib3.connectionpool").setLevel(logging.ERROR)
 
-_HOP_HEADERS = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "content-length",
@@ -53,7 +53,7 @@
 
 
 class AttemptKind(StrEnum):
-    """What is known of an attempt."""
+    """What is known about the outcome of an attempt."""
 
     NOT_SENT = "not_sent"
     REFUSED = "refused"
@@ -62,7 +62,7 @@
 
 
 class AttemptReason(StrEnum):
-    """Why an attempt has no whole response."""
+    """Reason for which an attempt has no complete response."""
 
     CONNECT_FAILED = "connect_failed"
     DEADLINE = "deadline"
@@ -76,7 +76,7 @@
 
 
 class BackendRequest(NamedTuple):
-    """Request as sent to a backend server."""
+    """Request to a backend server."""
 
     request_id: str
     service: str
@@ -87,19 +87,19 @@
 class AttemptOutcome(NamedTuple):
     """Result of one attempt.
 
-    ``response`` is set exactly when ``kind`` is ``COMPLETE``; ``bytes_sent`` tells
-    whether a byte was handed to a connected socket.
+    ``response`` is set exactly if ``kind`` is ``COMPLETE``. ``has_sent_bytes`` is set
+    if a byte was written to a connected socket.
     """
 
     kind: AttemptKind
     reason: AttemptReason | None
     response: RecordedResponse | None
-    bytes_sent: bool
+    has_sent_bytes: bool
     elapsed_s: float
 
 
-class _ResponseError(Exception):
-    """Response that can't be accepted as whole."""
+class _InvalidResponseError(Exception):
+    """Response that can't be accepted as the complete response to the request."""
 
     def __init__(self, reason: AttemptReason) -> None:
         super().__init__(reason)
@@ -107,7 +107,10 @@
 
 
 class Dispatcher:
-    """Sends requests over pooled connections, without retries or redirects."""
+    """Sends requests over pooled connections, without retries or redirects.
+
+    Thread-safe; each thread makes one attempt at a time.
+    """
 
     def __init__(
         self,
@@ -119,12 +122,12 @@
         self._clock = clock
         self._connect_timeout_s = connect_timeout_s
         self._response_limit_bytes = response_limit_bytes
-        self._attempt = Attempt(clock)
+        self._context = AttemptContext(clock)
         self._manager = PoolManager(
-            num_pools=POOLS_COUNT, maxsize=CONNECTIONS_PER_WORKER_COUNT, block=False
+            num_pools=MAX_POOLS_COUNT, maxsize=CONNECTIONS_PER_WORKER_COUNT, block=False
         )
         self._manager.pool_classes_by_scheme = {
-            "http": worker_pool_class(self._attempt)
+            "http": worker_pool_class(self._context)
         }
 
     def dispatch(
@@ -138,28 +141,31 @@
         """Makes one attempt.
 
         :param address: ``ip:port`` of the worker.
-        :param deadline_s: monotonic time that bounds the whole exchange.
-        :param refusal_statuses: statuses by which the server guarantees that it did
-            no work.
+        :param deadline_s: monotonic time that limits the whole exchange.
+        :param refusal_statuses: status codes with which the server guarantees that the
+            request has not run.
+        :returns: the outcome; failures of the exchange are not raised.
         """
         started_s = self._clock.monotonic_s()
-        self._attempt.start(deadline_s)
-        kind, reason, response = self._try(address, request, refusal_statuses)
+        self._context.start(deadline_s)
+        kind, reason, response = self._attempt_exchange(
+            address, request, refusal_statuses
+        )
         elapsed_s = self._clock.monotonic_s() - started_s
         return AttemptOutcome(
-            kind, reason, response, self._attempt.bytes_sent, elapsed_s
+            kind, reason, response, self._context.has_sent_bytes, elapsed_s
         )
 
     def close(self) -> None:
         """Closes idle connections."""
         self._manager.clear()
 
-    def _try(
+    def _attempt_exchange(
         self, address: str, request: BackendRequest, refusal_statuses: tuple[int, ...]
     ) -> tuple[AttemptKind, AttemptReason | None, RecordedResponse | None]:
         try:
             response = self._exchange(address, request)
-        except _ResponseError as error:
+        except _InvalidResponseError as error:
             return AttemptKind.MAY_HAVE_RUN, error.reason, None
         except (HTTPError, HTTPException, OSError, ValueError) as error:
             return (*self._classify(error), None)
@@ -168,19 +174,19 @@
         return AttemptKind.COMPLETE, None, response
 
     def _classify(self, error: Exception) -> tuple[AttemptKind, AttemptReason]:
-        is_late = self._clock.monotonic_s() >= self._attempt.deadline_s
-        if self._attempt.bytes_sent:
-            if is_late:
+        has_deadline_passed = self._clock.monotonic_s() >= self._context.deadline_s
+        if self._context.has_sent_bytes:
+            if has_deadline_passed:
                 return AttemptKind.MAY_HAVE_RUN, AttemptReason.RESPONSE_TIMEOUT
             return AttemptKind.MAY_HAVE_RUN, AttemptReason.RESPONSE_BROKEN
-        if is_late:
+        if has_deadline_passed:
             return AttemptKind.NOT_SENT, AttemptReason.DEADLINE
         if isinstance(error, ValueError):
             return AttemptKind.NOT_SENT, AttemptReason.INVALID_REQUEST
         return AttemptKind.NOT_SENT, AttemptReason.CONNECT_FAILED
 
     def _exchange(self, address: str, request: BackendRequest) -> RecordedResponse:
-        remaining_s = self._attempt.remaining_s()
+        remaining_s = self._context.remaining_s()
         response = self._manager.urlopen(
             "POST",
             f"http://{address}/{request.service}",
@@ -194,37 +200,37 @@
                 connect=min(self._connect_timeout_s, remaining_s), read=remaining_s
             ),
         )
-        is_whole = False
+        is_complete = False
         try:
-            body = self._whole_body(response, request.request_id)
-            is_whole = True
+            body = self._read_body(response, request.request_id)
+            is_complete = True
         finally:
-            if not is_whole:
+            if not is_complete:
                 response.close()
         response.release_conn()
         headers = _response_headers(response.headers)
         return RecordedResponse(response.status, headers, body)
 
-    def _whole_body(self, response: BaseHTTPResponse, request_id: str) -> bytes:
+    def _read_body(self, response: BaseHTTPResponse, request_id: str) -> bytes:
         _check_request_id(request_id, response.headers.get(REQUEST_ID_HEADER))
-        has_bound = _has_bounded_body(response)
-        if not has_bound:
-            raise _ResponseError(AttemptReason.RESPONSE_UNBOUNDED)
-        parts = []
+        is_bounded = _has_bounded_body(response)
+        if not is_bounded:
+            raise _InvalidResponseError(AttemptReason.RESPONSE_UNBOUNDED)
+        chunks = []
         size_bytes = 0
-        for part in response.stream(READ_BYTES, decode_content=False):
-            size_bytes += len(part)
+        for chunk in response.stream(READ_CHUNK_BYTES, decode_content=False):
+            size_bytes += len(chunk)
             if size_bytes > self._response_limit_bytes:
-                raise _ResponseError(AttemptReason.RESPONSE_TOO_LARGE)
-            parts.append(part)
-        return b"".join(parts)
+                raise _InvalidResponseError(AttemptReason.RESPONSE_TOO_LARGE)
+            chunks.append(chunk)
+        return b"".join(chunks)
 
 
-def _check_request_id(expected: str, answered: str | None) -> None:
+def _check_request_id(expected: str, received: str | None) -> None:
     try:
-        check_answer_matches_request(expected, answered)
+        check_answer_matches_request(expected, received)
     except InvariantError as error:
-        raise _ResponseError(AttemptReason.RESPONSE_MISMATCH) from error
+        raise _InvalidResponseError(AttemptReason.RESPONSE_MISMATCH) from error
 
 
 def _has_bounded_body(response: BaseHTTPResponse) -> bool:
@@ -237,18 +243,20 @@
 
 
 def _request_headers(request: BackendRequest) -> dict[str, str]:
-    headers = _without_hop_headers(request.headers)
+    headers = _strip_hop_by_hop_headers(request.headers)
     headers[REQUEST_ID_HEADER] = request.request_id
     return headers
 
 
 def _response_headers(headers: Mapping[str, str]) -> dict[str, str]:
-    return _without_hop_headers(headers)
+    return _strip_hop_by_hop_headers(headers)
 
 
-def _without_hop_headers(headers: Mapping[str, str]) -> dict[str, str]:
-    named = headers.get("Connection", "")
-    dropped = _HOP_HEADERS | {name.strip().lower() for name in named.split(",")}
+def _strip_hop_by_hop_headers(headers: Mapping[str, str]) -> dict[str, str]:
+    connection_options = headers.get("Connection", "")
+    removed = _HOP_BY_HOP_HEADERS | {
+        name.strip().lower() for name in connection_options.split(",")
+    }
     return {
-        name: value for name, value in headers.items() if name.lower() not in dropped
+        name: value for name, value in headers.items() if name.lower() not in removed
     }
--- a/src/sycamorecroft/routing/execution.py
+++ b/src/sycamorecroft/routing/execution.py
@@ -1,4 +1,4 @@
-"""Execution of one request at the requesting host: slot, claim, dispatch, retry."""
+"""Execution of a request by the entry host: slot, claim, dispatch and retries."""
 
 import time
 from collections.abc import Callable, Mapping
@@ -28,14 +28,14 @@
 from sycamorecroft.routing.messages import SlotGrant
 from sycamorecroft.routing.retry import RetryBudget
 
-ATTEMPTS_COUNT = 4
-"""Bounds attempts that were not sent; these need no retry budget, since they
-cost a worker nothing."""
+MAX_ATTEMPTS_COUNT = 4
+"""Limit of attempts per request. It also bounds attempts that were not sent, which
+spend no retry budget because they cost a worker nothing."""
 
 TIMEOUT_FAILURE_RATIO = 0.5
-"""A timeout counts against the worker only if it had at least this part of
-the service's timeout; otherwise callers with very short timeouts could eject healthy
-workers for everybody."""
+"""A timeout counts as a failure of the worker only after at least this part of the
+service's timeout. Otherwise callers with very short timeouts could eject healthy
+workers for all callers."""
 
 _HOST_FAILURES = frozenset(
     (
@@ -55,19 +55,21 @@
     RecordedResponse: "recorded",
 }
 
-# An owner reclaims the grants of a requester that is silent for 2 s, so a grant that is
-# older before its dispatch, after a pause or a slow claim, is given back unused.
-GRANT_LIMIT_S = 1.5
+# A grant that is older than this before its dispatch, because the process paused or the
+# claim was slow, is released unused: an owner reclaims the grants of a requester after
+# 2 s without contact.
+MAX_GRANT_AGE_S = 1.5
 STALE_GRANT = "stale_grant"
 
-# A repeated request often arrives while the first one's response is being recorded,
-# so its claim is looked up again after these waits, without holding a slot.
+# A repeated request often arrives while the response to the first one is being
+# recorded. Its claim is therefore looked up again after these waits, in seconds, while
+# no slot is held.
 PENDING_WAITS_S = (0.05, 0.1, 0.2, 0.4, 0.8)
 DEADLINE = "deadline"
 
 
 class Outcome(StrEnum):
-    """Outcome as reported to the caller."""
+    """Outcome of a request as reported to the caller."""
 
     RUN = "run"
     NOT_RUN = "not-run"
@@ -77,8 +79,8 @@
 class ServiceRequest(NamedTuple):
     """Admitted request of a caller. ``deadline_s`` is monotonic time.
 
-    ``is_repeatable`` is ``False`` if the service or the caller says so; then
-    ``idempotency_key`` must be set.
+    ``is_repeatable`` is ``False`` if the service or the caller declares the request as
+    not repeatable; it then needs an ``idempotency_key``.
     """
 
     request_id: str
@@ -94,7 +96,7 @@
 
 
 class StepKind(StrEnum):
-    """Steps of the execution of a request."""
+    """Kind of a step in the execution of a request."""
 
     QUEUE = "queue"
     CLAIM = "claim"
@@ -102,9 +104,9 @@
 
 
 class ExecutionStep(NamedTuple):
-    """A step that ended. ``result`` is a bounded code.
+    """Completed step. ``result`` is one of a fixed set of codes.
 
-    ``is_retried`` marks an attempt that is followed by another one.
+    ``is_retried`` marks an attempt that another one follows.
     """
 
     kind: StepKind
@@ -115,7 +117,10 @@
 
 
 class Execution(NamedTuple):
-    """Outcome of a request; ``response`` is set exactly when it is ``run``."""
+    """Outcome of a request; ``response`` is set exactly if the outcome is ``RUN``.
+
+    ``is_recorded`` marks the recorded response of an earlier attempt.
+    """
 
     outcome: Outcome
     reason: str | None
@@ -125,7 +130,7 @@
     steps: tuple[ExecutionStep, ...] = ()
 
 
-class _Parts(NamedTuple):
+class _Dependencies(NamedTuple):
     slots: SlotSource
     claims: Claims
     dispatcher: Dispatcher
@@ -135,7 +140,7 @@
 
 
 class RequestExecutor:
-    """Runs requests. Thread-safe; blocks the calling thread until the outcome."""
+    """Executes requests. Thread-safe; blocks the calling thread until the outcome."""
 
     def __init__(
         self,
@@ -147,7 +152,7 @@
         clock: Clock,
         sleep: Callable[[float], object] = time.sleep,
     ) -> None:
-        self._parts = _Parts(
+        self._dependencies = _Dependencies(
             slots=slots,
             claims=claims,
             dispatcher=dispatcher,
@@ -159,8 +164,10 @@
     def execute(
         self, request: ServiceRequest, service: ServiceConfiguration
     ) -> Execution:
-        """
-        :raises RequestError: when a request that isn't repeatable has no idempotency
+        """Executes a request with as many attempts as its outcome allows.
+
+        :returns: the outcome with the steps that led to it.
+        :raises RequestError: if a request that isn't repeatable has no idempotency
             key, or its key was used with another body.
         """
         if not request.is_repeatable and not request.idempotency_key:
@@ -169,22 +176,22 @@
                 "repeatable and has no idempotency key; send Idempotency-Key"
             )
             raise RequestError(message)
-        self._parts.retry_budget.record_request()
-        run = _Run(self._parts, request, service)
-        execution = run.execute()
-        return execution._replace(steps=tuple(run.steps))
+        self._dependencies.retry_budget.record_request()
+        execution_state = _RequestExecution(self._dependencies, request, service)
+        execution = execution_state.execute()
+        return execution._replace(steps=tuple(execution_state.steps))
 
 
-class _Run:
-    """State of one request between its attempts."""
+class _RequestExecution:
+    """Execution of one request, and its state between attempts."""
 
     def __init__(
         self,
-        parts: _Parts,
+        dependencies: _Dependencies,
         request: ServiceRequest,
         service: ServiceConfiguration,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._request = request
         self._service = service
         self._claim: HeldClaim | None = None
@@ -192,44 +199,48 @@
         self._attempts_count = 0
         self._uncertain_count = 0
         self._uncertain_reason: str | None = None
-        self._last: AttemptOutcome | None = None
+        self._last_attempt: AttemptOutcome | None = None
         self.steps: list[ExecutionStep] = []
 
     def execute(self) -> Execution:
         while True:
-            started_s = self._parts.clock.monotonic_s()
+            started_s = self._dependencies.clock.monotonic_s()
             try:
-                grant = self._parts.slots.acquire(self._demand())
-                self._note(StepKind.QUEUE, GRANTED, started_s, grant.host)
+                grant = self._dependencies.slots.acquire(self._demand())
+                self._record_step(StepKind.QUEUE, GRANTED, started_s, grant.host)
             except NotRunError as error:
-                self._note(StepKind.QUEUE, error.reason, started_s)
-                return self._without_further_attempt(error.reason)
-            execution = self._use(grant)
+                self._record_step(StepKind.QUEUE, error.reason, started_s)
+                return self._end_without_response(error.reason)
+            execution = self._use_grant(grant)
             if execution is not None and execution.reason == CLAIM_PENDING:
                 execution = self._await_claim(execution)
             if execution is not None:
                 return execution
 
-    def _note(
+    def _record_step(
         self, kind: StepKind, result: str, started_s: float, host: str | None = None
     ) -> None:
-        duration_s = self._parts.clock.monotonic_s() - started_s
+        duration_s = self._dependencies.clock.monotonic_s() - started_s
         self.steps.append(ExecutionStep(kind, result, duration_s, host))
 
     def _await_claim(self, pending: Execution) -> Execution | None:
-        """
+        """Waits for another attempt that holds the claim of the same request.
+
         :returns: the recorded response or ``pending``; ``None`` if the other attempt
-            released the claim and this one holds it now.
+            released the claim and this request now holds it.
         """
         for wait_s in PENDING_WAITS_S:
-            if self._parts.clock.monotonic_s() + wait_s >= self._request.deadline_s:
+            if (
+                self._dependencies.clock.monotonic_s() + wait_s
+                >= self._request.deadline_s
+            ):
                 return pending
-            self._parts.sleep(wait_s)
-            execution = self._before_dispatch()
+            self._dependencies.sleep(wait_s)
+            execution = self._prepare_dispatch()
             if execution is None or execution.outcome is Outcome.RUN:
                 return execution
             if execution.outcome is Outcome.NOT_RUN:
-                # Only this look-up failed; the other attempt may have run.
+                # Only the look-up failed; the other attempt may have run.
                 return pending
         return pending
 
@@ -243,47 +254,50 @@
             self._excluded_hosts,
         )
 
-    def _use(self, grant: SlotGrant) -> Execution | None:
+    def _use_grant(self, grant: SlotGrant) -> Execution | None:
         """
-        :returns: the final outcome, ``None`` for a further attempt.
+        :returns: the final outcome, ``None`` if a further attempt is to be made.
         """
         attempt: AttemptOutcome | None = None
-        granted_s = self._parts.clock.monotonic_s()
+        granted_s = self._dependencies.clock.monotonic_s()
         try:
-            execution = self._before_dispatch()
+            execution = self._prepare_dispatch()
             if execution is not None:
                 return execution
-            if self._parts.clock.monotonic_s() - granted_s > GRANT_LIMIT_S:
-                self._note(StepKind.QUEUE, STALE_GRANT, granted_s, grant.host)
+            if self._dependencies.clock.monotonic_s() - granted_s > MAX_GRANT_AGE_S:
+                self._record_step(StepKind.QUEUE, STALE_GRANT, granted_s, grant.host)
                 return None
             attempt = self._dispatch(grant)
         finally:
             self._release(grant, attempt)
-        return self._after(grant, attempt)
+        return self._handle_outcome(grant, attempt)
 
     def _release(self, grant: SlotGrant, attempt: AttemptOutcome | None) -> None:
-        is_dispatched = attempt is not None and attempt.bytes_sent
-        self._parts.slots.release(
+        is_dispatched = attempt is not None and attempt.has_sent_bytes
+        self._dependencies.slots.release(
             grant,
             service_time_s=attempt.elapsed_s if is_dispatched else None,
-            host_failed=attempt is not None and self._host_failed(attempt),
+            host_failed=attempt is not None and self._is_host_failure(attempt),
         )
 
-    def _before_dispatch(self) -> Execution | None:
-        """Claims the request, unless it is repeatable or the claim is held."""
+    def _prepare_dispatch(self) -> Execution | None:
+        """Claims a request that isn't repeatable, and checks the deadline.
+
+        :returns: the final outcome, ``None`` if the request may be dispatched.
+        """
         if self._request.is_repeatable or self._claim is not None:
             return self._check_deadline()
         request = self._request
         key = ClaimKey(request.account, request.service, request.idempotency_key or "")
-        started_s = self._parts.clock.monotonic_s()
+        started_s = self._dependencies.clock.monotonic_s()
         try:
-            claim = self._parts.claims.claim(
+            claim = self._dependencies.claims.claim(
                 key, body_digest=_digest(request), deadline_s=request.deadline_s
             )
         except NotRunError as error:
-            self._note(StepKind.CLAIM, error.reason, started_s)
-            return self._without_further_attempt(error.reason)
-        self._note(StepKind.CLAIM, _CLAIM_RESULTS[type(claim)], started_s)
+            self._record_step(StepKind.CLAIM, error.reason, started_s)
+            return self._end_without_response(error.reason)
+        self._record_step(StepKind.CLAIM, _CLAIM_RESULTS[type(claim)], started_s)
         if isinstance(claim, RecordedResponse):
             return Execution(Outcome.RUN, None, claim, self._attempts_count, True)
         if isinstance(claim, PendingClaim):
@@ -292,9 +306,9 @@
         return self._check_deadline()
 
     def _check_deadline(self) -> Execution | None:
-        if self._parts.clock.monotonic_s() < self._request.deadline_s:
+        if self._dependencies.clock.monotonic_s() < self._request.deadline_s:
             return None
-        return self._without_further_attempt(DEADLINE)
+        return self._end_without_response(DEADLINE)
 
     def _dispatch(self, grant: SlotGrant) -> AttemptOutcome:
         request = self._request
@@ -304,21 +318,23 @@
         backend_request = BackendRequest(
             request.request_id, request.service, request.headers, request.body
         )
-        return self._parts.dispatcher.dispatch(
+        return self._dependencies.dispatcher.dispatch(
             grant.address,
             backend_request,
             deadline_s=request.deadline_s,
             refusal_statuses=self._service.refusal_statuses,
         )
 
-    def _after(self, grant: SlotGrant, attempt: AttemptOutcome) -> Execution | None:
-        self._last = attempt
+    def _handle_outcome(
+        self, grant: SlotGrant, attempt: AttemptOutcome
+    ) -> Execution | None:
+        self._last_attempt = attempt
         result = str(attempt.reason or attempt.kind)
         step = ExecutionStep(StepKind.ATTEMPT, result, attempt.elapsed_s, grant.host)
         self.steps.append(step)
         if attempt.kind is AttemptKind.COMPLETE:
             if self._claim is not None:
-                self._parts.claims.record(self._claim, attempt.response)
+                self._dependencies.claims.record(self._claim, attempt.response)
             return Execution(
                 Outcome.RUN, None, attempt.response, self._attempts_count, False
             )
@@ -329,10 +345,10 @@
             self._excluded_hosts += (grant.host,)
             self.steps[-1] = step._replace(is_retried=True)
             return None
-        return self._without_further_attempt(str(attempt.reason))
+        return self._end_without_response(str(attempt.reason))
 
     def _may_retry(self, attempt: AttemptOutcome) -> bool:
-        if self._attempts_count >= ATTEMPTS_COUNT:
+        if self._attempts_count >= MAX_ATTEMPTS_COUNT:
             return False
         if attempt.reason in (
             AttemptReason.INVALID_REQUEST,
@@ -341,30 +357,31 @@
             return False
         if self._uncertain_count and not self._request.is_repeatable:
             return False
-        if self._parts.clock.monotonic_s() >= self._request.deadline_s:
+        if self._dependencies.clock.monotonic_s() >= self._request.deadline_s:
             return False
         if attempt.kind is AttemptKind.NOT_SENT:
             return True
-        return self._parts.retry_budget.try_spend()
+        return self._dependencies.retry_budget.try_spend()
 
-    def _without_further_attempt(self, reason: str) -> Execution:
-        """The request has no whole response: not run unless an attempt may have."""
+    def _end_without_response(self, reason: str) -> Execution:
+        """Ends a request without a response: not run, or unknown if it may have run."""
         if self._uncertain_reason is not None:
             return self._execution(Outcome.UNKNOWN, self._uncertain_reason)
-        last = self._last
+        last_attempt = self._last_attempt
         check_not_run_is_true(
             self._request.request_id,
-            bytes_sent=last is not None and last.bytes_sent,
-            refused=last is not None and last.kind is AttemptKind.REFUSED,
+            bytes_sent=last_attempt is not None and last_attempt.has_sent_bytes,
+            refused=last_attempt is not None
+            and last_attempt.kind is AttemptKind.REFUSED,
         )
         if self._claim is not None:
-            self._parts.claims.release(self._claim)
+            self._dependencies.claims.release(self._claim)
         return self._execution(Outcome.NOT_RUN, reason)
 
-    def _host_failed(self, attempt: AttemptOutcome) -> bool:
+    def _is_host_failure(self, attempt: AttemptOutcome) -> bool:
         if attempt.reason is AttemptReason.RESPONSE_TIMEOUT:
-            allowed_s = self._service.timeout_s
-            return attempt.elapsed_s >= TIMEOUT_FAILURE_RATIO * allowed_s
+            service_timeout_s = self._service.timeout_s
+            return attempt.elapsed_s >= TIMEOUT_FAILURE_RATIO * service_timeout_s
         return attempt.reason in _HOST_FAILURES
 
     def _execution(self, outcome: Outcome, reason: str) -> Execution:
--- a/src/sycamorecroft/routing/grants.py
+++ b/src/sycamorecroft/routing/grants.py
@@ -1,4 +1,4 @@
-"""Grants that an owner has outstanding, and tickets that have ended."""
+"""Outstanding grants of a queue owner, and tickets that have ended."""
 
 import heapq
 from collections import deque
@@ -10,16 +10,17 @@
 from sycamorecroft.routing.messages import SlotGrant
 
 ENDED_TICKETS_COUNT = 4096
-"""Tickets used for a dispatch that are remembered, so that a late duplicate or
-held grant occupies no slot. Covers about 2 s at 2,000 requests a second."""
+"""Number of remembered tickets that were used for a dispatch, so that a late
+duplicate request or held grant occupies no slot. Covers about 2 s at 2,000 requests per
+second."""
 
-EXPIRY_SLACK_COUNT = 256
-"""The heap of deadlines is rebuilt when more than half of it, and more than
-this many entries, belong to grants that have ended."""
+STALE_ENTRIES_COUNT = 256
+"""The heap of deadlines is rebuilt when more than half of its entries, and more
+than this number, belong to grants that have ended."""
 
 
 class Grant(NamedTuple):
-    """Occupied slot; ``queued`` is ``None`` for a grant of an earlier owner."""
+    """Occupied slot; ``queued`` is ``None`` for a grant by a former owner."""
 
     ticket: str
     requester: str
@@ -27,9 +28,9 @@
     address: str
     queued: QueuedRequest | None
 
-    def message(self) -> SlotGrant:
+    def to_message(self) -> SlotGrant:
         """
-        :returns: the message that tells the requester.
+        :returns: message that notifies the requester.
         """
         return SlotGrant(self.ticket, self.requester, self.host, self.address)
 
@@ -53,18 +54,19 @@
 
     def get(self, ticket: str) -> Grant | None:
         """
-        :returns: the outstanding grant of the ticket, if any.
+        :returns: outstanding grant of the ticket, ``None`` if it has none.
         """
         return self._grants.get(ticket)
 
     def add(self, grant: Grant, deadline_s: float) -> None:
-        """
-        :param deadline_s: time from which :meth:`due` returns the grant.
+        """Adds an outstanding grant.
+
+        :param deadline_s: monotonic time from which :meth:`pop_expired` returns it.
         """
         self._grants[grant.ticket] = grant
         entry = (deadline_s, next(self._sequence), grant)
         heapq.heappush(self._deadlines, entry)
-        if len(self._deadlines) > 2 * len(self._grants) + EXPIRY_SLACK_COUNT:
+        if len(self._deadlines) > 2 * len(self._grants) + STALE_ENTRIES_COUNT:
             self._deadlines = [
                 entry for entry in self._deadlines if self._is_outstanding(entry[2])
             ]
@@ -73,9 +75,10 @@
     def remove(self, ticket: str) -> None:
         del self._grants[ticket]
 
-    def due(self, now_s: float) -> list[Grant]:
-        """
-        :returns: outstanding grants whose deadline has passed; each only once.
+    def pop_expired(self, now_s: float) -> list[Grant]:
+        """Removes the deadlines that have passed; the grants stay outstanding.
+
+        :returns: outstanding grants whose deadline has passed, each only once.
         """
         grants = []
         while self._deadlines and self._deadlines[0][0] <= now_s:
@@ -85,12 +88,12 @@
         return grants
 
     def _is_outstanding(self, grant: Grant) -> bool:
-        """A ticket may have a second grant after the first was reclaimed."""
+        """Compares identity: a reclaimed ticket may have been granted again."""
         return self._grants.get(grant.ticket) is grant
 
 
 class EndedTickets:
-    """The last tickets that ended, in bounded space."""
+    """Most recent tickets that ended, at most ``ENDED_TICKETS_COUNT``."""
 
     def __init__(self) -> None:
         self._tickets: set[str] = set()
--- a/src/sycamorecroft/routing/interfaces.py
+++ b/src/sycamorecroft/routing/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces that the execution of a request needs from other slices."""
+"""Interfaces through which the execution of a request obtains slots."""
 
 from abc import ABC, abstractmethod
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class SlotDemand(NamedTuple):
-    """What a request needs; ``deadline_s`` is monotonic time of this process."""
+    """Slot that a request needs; ``deadline_s`` is monotonic time of this process."""
 
     service: str
     team: str
@@ -18,20 +18,23 @@
 
 
 class SlotSource(ABC):
-    """Source of slots: the owner of the service's queue, wherever it runs."""
+    """Source of slots, granted by the queue owner on this or another entry host."""
 
     @abstractmethod
     def acquire(self, demand: SlotDemand) -> SlotGrant:
         """Waits for a slot, at most until the deadline of the demand.
 
-        :raises NotRunError: when the request was refused or its deadline passed.
+        :returns: the granted slot; the caller calls :meth:`release`.
+        :raises NotRunError: if the request is refused or its deadline passes.
         """
 
     @abstractmethod
     def release(
         self, grant: SlotGrant, *, service_time_s: float | None, host_failed: bool
     ) -> None:
-        """Returns the slot; never blocks on the network.
+        """Releases the slot without blocking on the network.
 
-        :param service_time_s: dispatch to end of response, ``None`` if not dispatched.
+        :param service_time_s: time from dispatch to the end of the response, ``None``
+            if nothing was dispatched.
+        :param host_failed: whether the attempt counts as a failure of the worker.
         """
--- a/src/sycamorecroft/routing/messages.py
+++ b/src/sycamorecroft/routing/messages.py
@@ -1,7 +1,7 @@
 """Messages between requesting entry hosts and the owner of a service queue.
 
-All deadlines are on the monotonic clock of the process that handles the message;
-the transport carries remaining times.
+Deadlines are on the monotonic clock of the process that handles the message; the
+transport carries the remaining times.
 """
 
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class SlotRequest(NamedTuple):
-    """Request for one slot of the service's pool. ``ticket`` is unique."""
+    """Request for one slot of the service's pool, identified by its unique ticket."""
 
     ticket: str
     requester: str
@@ -24,8 +24,8 @@
 class SlotRelease(NamedTuple):
     """End of a grant, or withdrawal of a waiting request.
 
-    ``service_time_s`` is ``None`` when nothing was dispatched. ``host_failed`` is set
-    when the worker could not be reached, broke the response or refused it.
+    ``service_time_s`` is ``None`` if nothing was dispatched. ``host_failed`` is set if
+    the worker was unreachable, refused the request or sent an invalid response.
     """
 
     ticket: str
@@ -35,7 +35,7 @@
 
 
 class HeldGrant(NamedTuple):
-    """Grant that a requester holds from an earlier owner of the queue."""
+    """Grant by a former owner of the queue that a requester still holds."""
 
     ticket: str
     requester: str
@@ -45,7 +45,7 @@
 
 
 class SlotGrant(NamedTuple):
-    """Slot of a worker; ``address`` is ``ip:port``."""
+    """Granted slot of a worker; ``address`` is ``ip:port``."""
 
     ticket: str
     requester: str
@@ -54,7 +54,7 @@
 
 
 class SlotRefusal(NamedTuple):
-    """Refusal of a request with a bounded reason code; nothing was run."""
+    """Refusal of a request that has not run; ``reason`` is a code of a fixed set."""
 
     ticket: str
     requester: str
--- a/src/sycamorecroft/routing/owner.py
+++ b/src/sycamorecroft/routing/owner.py
@@ -1,4 +1,4 @@
-"""Owner of one service queue: decides which request gets which worker's slot."""
+"""Owner of one service queue: decides which request gets a slot of which worker."""
 
 from collections import OrderedDict
 from collections.abc import Mapping
@@ -21,17 +21,18 @@
 from sycamorecroft.routing.slots import SlotTable
 
 RECLAIM_AFTER_S = 2.0
-"""Time after which grants of a dropped requester are reclaimed (section 5.1)."""
+"""Time after which the grants of a lost requester are reclaimed (docs/design.md,
+section 5.1)."""
 
-PARKED_TRIES_COUNT = 4
-"""Parked requests tried per decision, which bounds its cost."""
+PARKED_ATTEMPTS_COUNT = 4
+"""Parked requests that each decision retries at most, which limits its cost."""
 
 
-class Membership(NamedTuple):
-    """Entry hosts as the owner sees them.
+class QueueMembership(NamedTuple):
+    """Entry hosts from the point of view of a queue owner.
 
-    ``reached`` are the registered entry hosts that the owner sees, itself included
-    (m); ``registered_count`` is the number of registered entry hosts (n).
+    ``reached`` contains the m registered entry hosts that the owner reaches, itself
+    included; ``registered_count`` is the number n of registered entry hosts.
     """
 
     reached: frozenset[str]
@@ -39,7 +40,10 @@
 
 
 class OwnerStatus(NamedTuple):
-    """Figures for metrics and for the operator's tool."""
+    """Status of a queue for metrics and for the operator's command-line tool.
+
+    ``parked_count`` counts requests for which all free workers are excluded.
+    """
 
     waiting_counts: Mapping[Urgency, int]
     parked_count: int
@@ -51,9 +55,10 @@
 
 
 class QueueOwner:
-    """Queue and slots of one service. Not thread-safe: one actor owns it.
+    """Queue and slots of one service. Not thread-safe; used by a single actor.
 
-    Each method takes the owner's monotonic time and returns the decisions to send.
+    The methods that handle an event take the owner's monotonic time and return the
+    decisions to send.
     """
 
     def __init__(
@@ -61,17 +66,17 @@
         service: str,
         configuration: FleetConfiguration,
         view: PoolView,
-        membership: Membership,
+        membership: QueueMembership,
         now_s: float,
         *,
         random: Random | None = None,
         grant_from_s: float | None = None,
     ) -> None:
         """
-        :param grant_from_s: time before which nothing is granted. An owner that takes
-            over a queue waits for the held grants of all requesters, since it would
-            otherwise grant slots that are occupied.
-        :param random: source of the choice among equally loaded workers.
+        :param random: random generator for the selection among equally loaded workers.
+        :param grant_from_s: monotonic time before which nothing is granted. An owner
+            that takes over a queue waits for the held grants of all requesters,
+            because it would otherwise grant occupied slots.
         """
         self.service = service
         self._random = random or Random()
@@ -80,26 +85,26 @@
         self._view = view
         self._membership = membership
         self._queue = ServiceQueue(self._weights())
-        self._slots = self._new_slots(now_s)
+        self._slots = self._build_slot_table(now_s)
         self._grants = GrantTable()
         self._parked: OrderedDict[str, QueuedRequest] = OrderedDict()
-        self._dropped_s: dict[str, float] = {}
+        self._lost_since_s: dict[str, float] = {}
         self._ended = EndedTickets()
 
     def request(self, request: SlotRequest, now_s: float) -> list[OwnerDecision]:
         """Handles a request for a slot.
 
-        A duplicate repeats the grant it has, or is refused if its ticket was used
-        for a dispatch. A ticket that was refused or withdrawn may be sent again, as
-        requesters do when the queue has moved away and back.
+        A duplicate of a granted request is answered with the same grant, and one whose
+        ticket was used for a dispatch is refused. A refused or withdrawn ticket may be
+        sent again, as requesters do if the queue is transferred and then returns.
         """
         ticket = request.ticket
-        self._dropped_s.pop(request.requester, None)
-        decisions = self._advance(now_s)
+        self._lost_since_s.pop(request.requester, None)
+        decisions = self._process_due(now_s)
         grant = self._grants.get(ticket)
         if grant is not None:
             if grant.requester == request.requester:
-                decisions.append(grant.message())
+                decisions.append(grant.to_message())
             return decisions
         if ticket in self._queue or ticket in self._parked:
             return decisions
@@ -111,11 +116,11 @@
         if reason is not None:
             decisions.append(SlotRefusal(ticket, request.requester, reason))
             return decisions
-        return self._pump(decisions, now_s)
+        return self._grant_free_slots(decisions, now_s)
 
     def release(self, release: SlotRelease, now_s: float) -> list[OwnerDecision]:
         """Handles the end of a grant or the withdrawal of a waiting request."""
-        decisions = self._advance(now_s)
+        decisions = self._process_due(now_s)
         ticket = release.ticket
         grant = self._grants.get(ticket)
         if grant is not None:
@@ -126,12 +131,12 @@
             self._withdraw(ticket, now_s)
         if release.service_time_s is not None or release.host_failed:
             self._ended.add(ticket)
-        return self._pump(decisions, now_s)
+        return self._grant_free_slots(decisions, now_s)
 
-    def held(self, held: HeldGrant, now_s: float) -> list[OwnerDecision]:
-        """Counts a slot that a requester holds from an earlier owner as occupied."""
-        self._dropped_s.pop(held.requester, None)
-        decisions = self._advance(now_s)
+    def restore_grant(self, held: HeldGrant, now_s: float) -> list[OwnerDecision]:
+        """Occupies the slot of a former owner's grant that a requester still holds."""
+        self._lost_since_s.pop(held.requester, None)
+        decisions = self._process_due(now_s)
         ticket = held.ticket
         is_known = ticket in self._grants or ticket in self._ended
         if is_known or held.deadline_s <= now_s or held.service != self.service:
@@ -139,20 +144,20 @@
         self._withdraw(ticket, now_s)
         grant = Grant(ticket, held.requester, held.host, "", None)
         self._grants.add(grant, held.deadline_s)
-        self._slots.hold(held.host, ticket)
-        return self._pump(decisions, now_s)
+        self._slots.restore_grant(held.host, ticket)
+        return self._grant_free_slots(decisions, now_s)
 
     def start_granting(self, now_s: float) -> list[OwnerDecision]:
-        """Grants from now on, because all requesters have sent their held grants."""
+        """Starts to grant slots once all requesters have reported their held grants."""
         self._grant_from_s = min(self._grant_from_s, now_s)
         return self.tick(now_s)
 
     def tick(self, now_s: float) -> list[OwnerDecision]:
-        """Handles what is due: refusals, reclaimed grants, probes, grants."""
-        return self._pump(self._advance(now_s), now_s)
+        """Processes expired requests and grants, due probes and free slots."""
+        return self._grant_free_slots(self._process_due(now_s), now_s)
 
     def view_changed(self, view: PoolView, now_s: float) -> list[OwnerDecision]:
-        """Takes over a new view of the hosts; an older one is ignored."""
+        """Applies a new view of the hosts; ignores an older one."""
         if view.version >= self._view.version:
             self._view = view
             self._slots.apply_view(view, now_s)
@@ -161,57 +166,54 @@
     def configuration_changed(
         self, configuration: FleetConfiguration, now_s: float
     ) -> list[OwnerDecision]:
-        """Takes over weights, and the pool if the service has moved to another."""
+        """Applies the teams' weights, and the pool if the service has changed it."""
         if configuration.version < self._configuration.version:
             return self.tick(now_s)
         self._configuration = configuration
         self._queue.set_weights(self._weights())
-        if self._pool() != self._slots.pool:
-            self._slots = self._new_slots(now_s)
+        if self._pool_name() != self._slots.pool:
+            self._slots = self._build_slot_table(now_s)
             for grant in self._grants:
-                self._slots.hold(grant.host, grant.ticket)
+                self._slots.restore_grant(grant.host, grant.ticket)
         return self.tick(now_s)
 
     def membership_changed(
-        self, membership: Membership, now_s: float
+        self, membership: QueueMembership, now_s: float
     ) -> list[OwnerDecision]:
-        """Takes over m and n; drops the waiting requests of lost requesters.
+        """Applies m and n; refuses the waiting requests of lost requesters.
 
-        Grants of a lost requester are reclaimed after ``RECLAIM_AFTER_S``, unless a
+        The grants of a lost requester are reclaimed after ``RECLAIM_AFTER_S`` unless a
         message from it arrives before.
         """
         self._membership = membership
         self._slots.set_share(len(membership.reached), membership.registered_count)
         holders = {grant.requester for grant in self._grants}
         lost = holders - membership.reached
-        self._dropped_s = {
-            requester: self._dropped_s.get(requester, now_s) for requester in lost
+        self._lost_since_s = {
+            requester: self._lost_since_s.get(requester, now_s) for requester in lost
         }
-        decisions = self._advance(now_s)
-        decisions += self._drop_waiting(now_s)
-        return self._pump(decisions, now_s)
+        decisions = self._process_due(now_s)
+        decisions += self._refuse_lost_requesters(now_s)
+        return self._grant_free_slots(decisions, now_s)
 
-    def hand_over(self, now_s: float) -> list[OwnerDecision]:
+    def transfer(self, now_s: float) -> list[OwnerDecision]:
         """Refuses all waiting requests because the queue has another owner.
 
-        Grants stay occupied until they are released or their deadline passes.
+        Granted slots stay occupied until their release or deadline.
         """
         waiting = list(self._waiting_requests())
         return [
-            self._drop(request, AdmissionRefusal.NOT_OWNER, now_s)
+            self._refuse(request, AdmissionRefusal.NOT_OWNER, now_s)
             for request in waiting
         ]
 
     def granted_hosts(self) -> frozenset[str]:
         """
-        :returns: workers with a grant of this queue, draining ones included.
+        :returns: workers with a grant of this queue, including draining ones.
         """
         return self._slots.occupied_hosts()
 
     def status(self) -> OwnerStatus:
-        """
-        :returns: figures for metrics.
-        """
         return OwnerStatus(
             waiting_counts={
                 urgency: self._queue.waiting_count(urgency) for urgency in Urgency
@@ -231,41 +233,41 @@
             request, now_s, self._slots.limit_count, self._slots.free_count
         )
 
-    def _pump(
+    def _grant_free_slots(
         self, decisions: list[OwnerDecision], now_s: float
     ) -> list[OwnerDecision]:
-        """Grants free slots: to parked requests first, then in queue order."""
+        """Grants free slots, first to parked requests, then in queue order."""
         if now_s < self._grant_from_s:
             return decisions
         if self._parked:
-            self._grant_parked(decisions, now_s)
+            self._retry_parked(decisions, now_s)
         while self._slots.has_capacity():
             queued = self._queue.take(now_s, self._slots.limit_count)
             if queued is None:
                 break
-            if not self._place(queued, decisions, now_s):
+            if not self._try_grant(queued, decisions, now_s):
                 self._parked[queued.request.ticket] = queued
         return decisions
 
-    def _grant_parked(self, decisions: list[OwnerDecision], now_s: float) -> None:
-        for ticket in list(self._parked)[:PARKED_TRIES_COUNT]:
+    def _retry_parked(self, decisions: list[OwnerDecision], now_s: float) -> None:
+        for ticket in list(self._parked)[:PARKED_ATTEMPTS_COUNT]:
             if not self._slots.has_capacity():
                 return
-            if self._place(self._parked[ticket], decisions, now_s):
+            if self._try_grant(self._parked[ticket], decisions, now_s):
                 del self._parked[ticket]
             else:
                 self._parked.move_to_end(ticket)
 
-    def _place(
+    def _try_grant(
         self, queued: QueuedRequest, decisions: list[OwnerDecision], now_s: float
     ) -> bool:
-        """
-        :returns: whether the request got a slot; not, if only workers that it
-            excludes are free.
+        """Grants a slot to the request unless it excludes all free workers.
+
+        :returns: whether a slot was granted.
         """
         request = queued.request
         excluded = request.excluded_hosts
-        if excluded and self._slots.is_only_choice(excluded):
+        if excluded and self._slots.is_every_active_worker_excluded(excluded):
             excluded = ()
         host = self._slots.choose(excluded)
         if host is None:
@@ -274,15 +276,15 @@
         address = self._slots.address_of(host)
         grant = Grant(request.ticket, request.requester, host, address, queued)
         self._grants.add(grant, request.deadline_s)
-        decisions.append(grant.message())
+        decisions.append(grant.to_message())
         return True
 
-    def _advance(self, now_s: float) -> list[OwnerDecision]:
-        for grant in self._grants.due(now_s):
+    def _process_due(self, now_s: float) -> list[OwnerDecision]:
+        for grant in self._grants.pop_expired(now_s):
             self._end_grant(grant, None, False, now_s)
-        if self._dropped_s:
-            self._reclaim_dropped(now_s)
-        self._slots.advance(now_s)
+        if self._lost_since_s:
+            self._reclaim_lost_grants(now_s)
+        self._slots.start_due_probes(now_s)
         decisions: list[OwnerDecision] = []
         for refused in self._queue.expire(now_s):
             request = refused.request
@@ -300,23 +302,23 @@
             if queued.latest_start_s <= now_s
         ]
         for request in expired:
-            decisions.append(self._drop(request, AdmissionRefusal.DEADLINE, now_s))
+            decisions.append(self._refuse(request, AdmissionRefusal.DEADLINE, now_s))
 
-    def _reclaim_dropped(self, now_s: float) -> None:
-        due = {
+    def _reclaim_lost_grants(self, now_s: float) -> None:
+        due_requesters = {
             requester
-            for requester, dropped_s in self._dropped_s.items()
-            if now_s - dropped_s >= RECLAIM_AFTER_S
+            for requester, lost_since_s in self._lost_since_s.items()
+            if now_s - lost_since_s >= RECLAIM_AFTER_S
         }
-        if not due:
+        if not due_requesters:
             return
         for grant in self._grants:
-            if grant.requester in due:
+            if grant.requester in due_requesters:
                 self._end_grant(grant, None, False, now_s)
-        for requester in due:
-            del self._dropped_s[requester]
+        for requester in due_requesters:
+            del self._lost_since_s[requester]
 
-    def _drop_waiting(self, now_s: float) -> list[OwnerDecision]:
+    def _refuse_lost_requesters(self, now_s: float) -> list[OwnerDecision]:
         reached = self._membership.reached
         lost = [
             request
@@ -324,7 +326,7 @@
             if request.requester not in reached
         ]
         return [
-            self._drop(request, AdmissionRefusal.REQUESTER_DROPPED, now_s)
+            self._refuse(request, AdmissionRefusal.REQUESTER_DROPPED, now_s)
             for request in lost
         ]
 
@@ -332,7 +334,7 @@
         parked = [queued.request for queued in self._parked.values()]
         return parked + list(self._queue.requests())
 
-    def _drop(
+    def _refuse(
         self, request: SlotRequest, reason: AdmissionRefusal, now_s: float
     ) -> SlotRefusal:
         self._withdraw(request.ticket, now_s)
@@ -353,16 +355,18 @@
         now_s: float,
     ) -> None:
         self._grants.remove(grant.ticket)
-        self._slots.vacate(grant.host, grant.ticket, service_time_s, host_failed, now_s)
+        self._slots.release(
+            grant.host, grant.ticket, service_time_s, host_failed, now_s
+        )
         if grant.queued is not None:
             self._queue.finish(grant.queued, service_time_s, now_s)
 
-    def _pool(self) -> str:
+    def _pool_name(self) -> str:
         service = self._configuration.services.get(self.service)
         return service.pool if service is not None else ""
 
-    def _new_slots(self, now_s: float) -> SlotTable:
-        slots = SlotTable(self._pool(), self._random)
+    def _build_slot_table(self, now_s: float) -> SlotTable:
+        slots = SlotTable(self._pool_name(), self._random)
         membership = self._membership
         slots.set_share(len(membership.reached), membership.registered_count)
         slots.apply_view(self._view, now_s)
--- a/src/sycamorecroft/routing/requester.py
+++ b/src/sycamorecroft/routing/requester.py
@@ -1,8 +1,8 @@
-"""Slot requests of one entry host: where each is sent, resent and answered.
+"""Slot requests of one entry host: sends them to queue owners and tracks their grants.
 
-Pure decision code. The requester sends each ticket to the owner of the service's
-queue and moves it to the next owner when that one stops, is silent or disclaims the
-queue. A ticket is granted at most once; any other grant of it is given back.
+The module only makes decisions and does no I/O. The requester sends each ticket to the
+owner of the service's queue, and to the next owner if that one stops, doesn't answer or
+disclaims the queue. A ticket is granted at most once; any further grant is released.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
@@ -20,7 +20,7 @@
 
 ACKNOWLEDGEMENT_TIMEOUT_S = 0.3
 RESEND_DELAY_S = 0.1
-# A held grant without release is reclaimed by the owner this long after its deadline.
+# An owner reclaims a reported grant without a release this long after its deadline.
 GRANT_GRACE_S = 2.0
 
 NO_OWNER_REASON = "no_owner"
@@ -35,38 +35,40 @@
 
 
 class SendRelease(NamedTuple):
-    """Tell an owner that a grant or a waiting ticket is given up."""
+    """Release a grant at its owner, or withdraw a waiting ticket."""
 
     owner: str
     release: SlotRelease
 
 
-class SendHeld(NamedTuple):
-    """Tell a new owner all grants held of some services."""
+class SendHeldGrants(NamedTuple):
+    """Report all held grants of some services to their new owner."""
 
     owner: str
     services: tuple[str, ...]
     held: tuple[HeldGrant, ...]
 
 
-class Complete(NamedTuple):
-    """Hand the result of a ticket to the thread that waits for it."""
+class CompleteTicket(NamedTuple):
+    """Pass the result of a ticket to the thread that waits for it."""
 
     ticket: str
     result: SlotGrant | SlotRefusal
 
 
 class SuspectOwner(NamedTuple):
-    """Check directly whether a silent owner is alive."""
+    """Check directly whether an owner that did not answer is alive."""
 
     owner: str
 
 
-RequesterDecision = SendRequest | SendRelease | SendHeld | Complete | SuspectOwner
+RequesterDecision = (
+    SendRequest | SendRelease | SendHeldGrants | CompleteTicket | SuspectOwner
+)
 
 
-class _Waiting:
-    """A ticket that has no grant yet."""
+class _WaitingTicket:
+    """Ticket without a grant."""
 
     def __init__(self, demand: SlotDemand) -> None:
         self.demand = demand
@@ -76,8 +78,8 @@
         self.resend_at_s: float | None = None
 
 
-class _Held(NamedTuple):
-    """A granted ticket; ``owners`` have granted it or were told that it is held."""
+class _HeldTicket(NamedTuple):
+    """Granted ticket; ``owners`` granted it or received a report that it is held."""
 
     demand: SlotDemand
     grant: SlotGrant
@@ -86,21 +88,20 @@
 
 
 class Requester:
-    """Tickets that wait and grants that are held by one entry host.
+    """Waiting tickets and held grants of one entry host.
 
-    :param entry: name of this entry host.
+    :param entry_host: name of this entry host.
     """
 
-    def __init__(self, entry: str) -> None:
-        self._entry = entry
-        self._live: tuple[str, ...] = ()
+    def __init__(self, entry_host: str) -> None:
+        self._entry_host = entry_host
+        self._live_entry_hosts: tuple[str, ...] = ()
         self._owners: dict[str, str | None] = {}
-        self._waiting: dict[str, _Waiting] = {}
-        self._held: dict[str, _Held] = {}
+        self._waiting: dict[str, _WaitingTicket] = {}
+        self._held: dict[str, _HeldTicket] = {}
 
     @property
     def waiting_count(self) -> int:
-        """Number of tickets that wait for a grant."""
         return len(self._waiting)
 
     def granted_hosts(self) -> frozenset[str]:
@@ -112,16 +113,16 @@
     def acquire(
         self, ticket: str, demand: SlotDemand, now_s: float
     ) -> list[RequesterDecision]:
-        """Starts to wait for a slot."""
-        waiting = _Waiting(demand)
+        """Adds a ticket and sends its slot request."""
+        waiting = _WaitingTicket(demand)
         self._waiting[ticket] = waiting
         return list(self._send(ticket, waiting, now_s))
 
     def release(
         self, ticket: str, service_time_s: float | None, host_failed: bool
     ) -> list[RequesterDecision]:
-        """Gives up a grant, or withdraws a ticket that still waits."""
-        release = SlotRelease(ticket, self._entry, service_time_s, host_failed)
+        """Releases the grant of a ticket, or withdraws the ticket if it still waits."""
+        release = SlotRelease(ticket, self._entry_host, service_time_s, host_failed)
         waiting = self._waiting.pop(ticket, None)
         if waiting is not None:
             owners = {waiting.owner}
@@ -142,72 +143,76 @@
         disclaimed: Iterable[str] = (),
         queued: Iterable[str] = (),
     ) -> list[RequesterDecision]:
-        """Handles one message of an owner.
+        """Processes one message of an owner.
 
-        :param disclaimed: tickets for whose service the sender is not the owner.
-        :param queued: tickets that the sender has received.
+        :param disclaimed: tickets of services whose queue the sender doesn't own.
+        :param queued: tickets whose request the sender acknowledges.
         """
         decisions: list[RequesterDecision] = []
         for ticket in queued:
             self._acknowledge(ticket, owner)
         for ticket in disclaimed:
-            self._delay_resend(ticket, owner, now_s)
+            self._schedule_resend(ticket, owner, now_s)
         for refusal in refusals:
-            decisions += self._refuse(refusal, owner)
+            decisions += self._apply_refusal(refusal, owner)
         for grant in grants:
-            decisions += self._grant(grant, owner)
+            decisions += self._apply_grant(grant, owner)
         return decisions
 
     def set_services(self, services: Iterable[str]) -> None:
-        """Sets the configured services, whose owners are told the grants held."""
+        """Adds the configured services, whose owners get reports of held grants."""
         for service in services:
             self._owner(service)
 
-    def set_live(self, live: Sequence[str], now_s: float) -> list[RequesterDecision]:
-        """Moves tickets and reports held grants where the owner of a queue changed."""
-        if tuple(live) == self._live:
+    def set_live_entry_hosts(
+        self, live_entry_hosts: Sequence[str], now_s: float
+    ) -> list[RequesterDecision]:
+        """Resends tickets and reports held grants of services whose owner changed."""
+        if tuple(live_entry_hosts) == self._live_entry_hosts:
             return []
-        self._live = tuple(live)
-        former = self._owners
+        self._live_entry_hosts = tuple(live_entry_hosts)
+        former_owners = self._owners
         self._owners = {}
         changed = {
-            service for service in former if self._owner(service) != former[service]
+            service
+            for service in former_owners
+            if self._owner(service) != former_owners[service]
         }
-        return self._move(changed, now_s)
+        return self._reroute(changed, now_s)
 
     def resync(self, owner: str, now_s: float) -> list[RequesterDecision]:
-        """Sends everything again to an owner whose stream was broken and reopened."""
+        """Resends tickets and held grants to an owner whose stream was reopened."""
         services = {s for s, known in self._owners.items() if known == owner}
-        return self._move(services, now_s)
+        return self._reroute(services, now_s)
 
     def tick(self, now_s: float) -> list[RequesterDecision]:
-        """Fails over silent owners and ends tickets whose deadline has passed."""
+        """Resends due tickets, reports unresponsive owners and expires tickets."""
         decisions: list[RequesterDecision] = []
-        silent: set[str] = set()
+        unresponsive: set[str] = set()
         for ticket, waiting in list(self._waiting.items()):
             if now_s >= waiting.demand.deadline_s:
                 decisions += self._expire(ticket, waiting)
             elif waiting.resend_at_s is not None and now_s >= waiting.resend_at_s:
                 decisions += self._send(ticket, waiting, now_s)
-            elif self._is_silent(waiting, now_s):
-                silent.add(waiting.owner or "")
+            elif self._is_acknowledgement_overdue(waiting, now_s):
+                unresponsive.add(waiting.owner or "")
                 waiting.sent_at_s = now_s
-        decisions += [SuspectOwner(owner) for owner in sorted(silent)]
+        decisions += [SuspectOwner(owner) for owner in sorted(unresponsive)]
         return decisions
 
     @staticmethod
-    def _is_silent(waiting: _Waiting, now_s: float) -> bool:
+    def _is_acknowledgement_overdue(waiting: _WaitingTicket, now_s: float) -> bool:
         if waiting.is_acknowledged or waiting.owner is None:
             return False
         return now_s - waiting.sent_at_s >= ACKNOWLEDGEMENT_TIMEOUT_S
 
     def _owner(self, service: str) -> str | None:
         if service not in self._owners:
-            self._owners[service] = owner_of(service, self._live)
+            self._owners[service] = owner_of(service, self._live_entry_hosts)
         return self._owners[service]
 
     def _send(
-        self, ticket: str, waiting: _Waiting, now_s: float
+        self, ticket: str, waiting: _WaitingTicket, now_s: float
     ) -> Iterator[RequesterDecision]:
         owner = self._owner(waiting.demand.service)
         waiting.owner = owner
@@ -221,7 +226,7 @@
             owner,
             SlotRequest(
                 ticket=ticket,
-                requester=self._entry,
+                requester=self._entry_host,
                 service=demand.service,
                 team=demand.team,
                 urgency=demand.urgency,
@@ -230,7 +235,7 @@
             ),
         )
 
-    def _move(self, services: set[str], now_s: float) -> list[RequesterDecision]:
+    def _reroute(self, services: set[str], now_s: float) -> list[RequesterDecision]:
         decisions: list[RequesterDecision] = list(self._report_held(services))
         for ticket, waiting in self._waiting.items():
             if waiting.demand.service in services:
@@ -238,10 +243,12 @@
                 decisions += self._send(ticket, waiting, now_s)
         return decisions
 
-    def _withdraw(self, ticket: str, waiting: _Waiting) -> Iterator[RequesterDecision]:
+    def _withdraw(
+        self, ticket: str, waiting: _WaitingTicket
+    ) -> Iterator[RequesterDecision]:
         new_owner = self._owner(waiting.demand.service)
         if waiting.owner is not None and waiting.owner != new_owner:
-            release = SlotRelease(ticket, self._entry, None, False)
+            release = SlotRelease(ticket, self._entry_host, None, False)
             yield SendRelease(waiting.owner, release)
 
     def _report_held(self, services: set[str]) -> Iterator[RequesterDecision]:
@@ -250,19 +257,21 @@
             owner = self._owner(service)
             if owner is not None:
                 by_owner.setdefault(owner, []).append(service)
-        for owner, owned in by_owner.items():
+        for owner, owned_services in by_owner.items():
             reported = [
-                held for held in self._held.values() if held.demand.service in owned
+                held
+                for held in self._held.values()
+                if held.demand.service in owned_services
             ]
             for held in reported:
                 held.owners.add(owner)
             grants = tuple(self._held_grant(held) for held in reported)
-            yield SendHeld(owner, tuple(owned), grants)
+            yield SendHeldGrants(owner, tuple(owned_services), grants)
 
-    def _held_grant(self, held: _Held) -> HeldGrant:
+    def _held_grant(self, held: _HeldTicket) -> HeldGrant:
         return HeldGrant(
             ticket=held.grant.ticket,
-            requester=self._entry,
+            requester=self._entry_host,
             service=held.demand.service,
             host=held.grant.host,
             deadline_s=held.demand.deadline_s + GRANT_GRACE_S,
@@ -273,37 +282,43 @@
         if waiting is not None and waiting.owner == owner:
             waiting.is_acknowledged = True
 
-    def _delay_resend(self, ticket: str, owner: str, now_s: float) -> None:
+    def _schedule_resend(self, ticket: str, owner: str, now_s: float) -> None:
         waiting = self._waiting.get(ticket)
         if waiting is not None and waiting.owner == owner:
             waiting.is_acknowledged = True
             waiting.resend_at_s = now_s + RESEND_DELAY_S
 
-    def _refuse(self, refusal: SlotRefusal, owner: str) -> Iterator[RequesterDecision]:
+    def _apply_refusal(
+        self, refusal: SlotRefusal, owner: str
+    ) -> Iterator[RequesterDecision]:
         waiting = self._waiting.get(refusal.ticket)
         if waiting is not None and waiting.owner == owner:
             del self._waiting[refusal.ticket]
-            yield Complete(refusal.ticket, refusal)
+            yield CompleteTicket(refusal.ticket, refusal)
 
-    def _grant(self, grant: SlotGrant, owner: str) -> Iterator[RequesterDecision]:
+    def _apply_grant(self, grant: SlotGrant, owner: str) -> Iterator[RequesterDecision]:
         waiting = self._waiting.pop(grant.ticket, None)
         if waiting is not None:
-            self._held[grant.ticket] = _Held(waiting.demand, grant, owner, {owner})
+            self._held[grant.ticket] = _HeldTicket(
+                waiting.demand, grant, owner, {owner}
+            )
             if waiting.owner not in (None, owner):
-                release = SlotRelease(grant.ticket, self._entry, None, False)
+                release = SlotRelease(grant.ticket, self._entry_host, None, False)
                 yield SendRelease(waiting.owner, release)
                 yield from self._report_held({waiting.demand.service})
-            yield Complete(grant.ticket, grant)
+            yield CompleteTicket(grant.ticket, grant)
             return
         held = self._held.get(grant.ticket)
         if held is None or held.granted_by != owner:
-            release = SlotRelease(grant.ticket, self._entry, None, False)
+            release = SlotRelease(grant.ticket, self._entry_host, None, False)
             yield SendRelease(owner, release)
 
-    def _expire(self, ticket: str, waiting: _Waiting) -> Iterator[RequesterDecision]:
+    def _expire(
+        self, ticket: str, waiting: _WaitingTicket
+    ) -> Iterator[RequesterDecision]:
         del self._waiting[ticket]
         if waiting.owner is not None:
-            release = SlotRelease(ticket, self._entry, None, False)
+            release = SlotRelease(ticket, self._entry_host, None, False)
             yield SendRelease(waiting.owner, release)
         reason = NO_OWNER_REASON if waiting.owner is None else DEADLINE_REASON
-        yield Complete(ticket, SlotRefusal(ticket, self._entry, reason))
+        yield CompleteTicket(ticket, SlotRefusal(ticket, self._entry_host, reason))
--- a/src/sycamorecroft/routing/requester_actor.py
+++ b/src/sycamorecroft/routing/requester_actor.py
@@ -1,4 +1,4 @@
-"""Actor that owns the slot requests of this entry host, and its slot source."""
+"""Actor for the slot requests of this entry host, and the slot source that uses it."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -23,10 +23,10 @@
 )
 from sycamorecroft.routing.requester import (
     DEADLINE_REASON,
-    Complete,
+    CompleteTicket,
     Requester,
     RequesterDecision,
-    SendHeld,
+    SendHeldGrants,
     SendRelease,
     SendRequest,
     SuspectOwner,
@@ -38,95 +38,97 @@
     merge_requester_batches,
 )
 
-# The actor ends a ticket at its deadline; the waiting thread allows it this long.
+# The actor completes a ticket at its deadline; the waiting thread allows this much
+# longer for the result to arrive.
 _COMPLETION_GRACE_S = 0.5
 
 
-class Acquire(NamedTuple):
-    """A thread waits for a slot; ``future`` gets a grant or a refusal."""
+class AcquireSlot(NamedTuple):
+    """Request a slot; ``future`` gets a grant or a refusal."""
 
     ticket: str
     demand: SlotDemand
     future: Future
 
 
-class Release(NamedTuple):
-    """A slot is no longer needed, or the thread no longer waits for it."""
+class ReleaseSlot(NamedTuple):
+    """Release a slot that is no longer needed or no longer waited for."""
 
     ticket: str
     service_time_s: float | None
     host_failed: bool
 
 
-class FromOwner(NamedTuple):
-    """An owner sent a batch."""
+class OwnerBatchReceived(NamedTuple):
+    """A batch from an owner has arrived."""
 
     owner: str
     batch: OwnerBatch
 
 
 class StreamOpened(NamedTuple):
-    """The stream to an owner works again."""
+    """The stream to an owner has been reopened."""
 
     owner: str
 
 
 class RequesterTick(NamedTuple):
-    """Handle what is due."""
+    """Process tickets that are due."""
 
 
 class RequesterStatusRequest(NamedTuple):
-    """Ask for :class:`RequesterStatus`."""
+    """Request for :class:`RequesterStatus`."""
 
 
 class RequesterStatus(NamedTuple):
-    """Workers on which this entry host holds grants, and tickets that wait."""
+    """Workers on which this entry host holds grants, and number of waiting tickets."""
 
     granted_hosts: frozenset[str]
     waiting_count: int
 
 
 class RequesterActor(DaemonActor):
-    """Owner of the requester state.
+    """Processes the messages for the slot requests of this entry host.
 
+    :param entry_host: name of this entry host.
     :param send: sends a batch to the owner of a queue; must not block.
-    :param check_peer: asks membership to check a silent owner.
+    :param check_peer: asks membership to check an owner that did not answer.
     """
 
     def __init__(
         self,
-        entry: str,
+        entry_host: str,
         clock: Clock,
         send: Callable[[str, RequesterBatch], None],
         check_peer: Callable[[str], None],
     ) -> None:
         super().__init__()
-        self._entry = entry
+        self._entry_host = entry_host
         self._clock = clock
         self._send = send
         self._check_peer = check_peer
-        self._requester = Requester(entry)
+        self._requester = Requester(entry_host)
         self._futures: dict[str, Future] = {}
 
     def handle(self, message: object) -> object:
         now_s = self._clock.monotonic_s()
         match message:
-            case Acquire(ticket, demand, future):
+            case AcquireSlot(ticket, demand, future):
                 self._futures[ticket] = future
                 self._apply(self._requester.acquire(ticket, demand, now_s))
-            case Release(ticket, service_time_s, host_failed):
+            case ReleaseSlot(ticket, service_time_s, host_failed):
                 self._futures.pop(ticket, None)
                 self._apply(
                     self._requester.release(ticket, service_time_s, host_failed)
                 )
-            case FromOwner(owner, batch):
+            case OwnerBatchReceived(owner, batch):
                 self._apply(self._requester.receive(owner, now_s, **batch._asdict()))
             case RequesterTick():
                 self._apply(self._requester.tick(now_s))
             case StreamOpened(owner):
                 self._apply(self._requester.resync(owner, now_s))
             case MembershipChanged(view):
-                self._apply(self._requester.set_live(view.live, now_s))
+                self._apply(self._requester.set_live_entry_hosts(view.live, now_s))
             case ConfigurationChanged(configuration):
                 self._set_services(configuration)
             case RequesterStatusRequest():
@@ -144,17 +146,19 @@
             match decision:
                 case SendRequest(owner, request):
                     batches[owner].append(
-                        RequesterBatch(self._entry, requests=(request,))
+                        RequesterBatch(self._entry_host, requests=(request,))
                     )
                 case SendRelease(owner, release):
                     batches[owner].append(
-                        RequesterBatch(self._entry, releases=(release,))
+                        RequesterBatch(self._entry_host, releases=(release,))
                     )
-                case SendHeld(owner, services, held):
+                case SendHeldGrants(owner, services, held):
                     batches[owner].append(
-                        RequesterBatch(self._entry, held=held, synced_services=services)
+                        RequesterBatch(
+                            self._entry_host, held=held, synced_services=services
+                        )
                     )
-                case Complete(ticket, result):
+                case CompleteTicket(ticket, result):
                     self._complete(ticket, result)
                 case SuspectOwner(owner):
                     self._check_peer(owner)
@@ -168,16 +172,16 @@
         try:
             future.set_result(result)
         except InvalidStateError:
-            # The thread gave up at the same moment; the grant is not used.
+            # The waiting thread has cancelled the future, so the grant is unused.
             if isinstance(result, SlotGrant):
                 self._apply(self._requester.release(ticket, None, False))
 
 
 class ActorSlotSource(SlotSource):
-    """Slot source for request threads.
+    """Slot source for the threads that handle requests.
 
     :param requester: reference of the :class:`RequesterActor`.
-    :param wake: called before each ticket, so that ticks follow at once.
+    :param wake: called before each ticket, so that ticks become frequent at once.
     """
 
     def __init__(
@@ -191,20 +195,22 @@
         ticket = new_ticket(demand.service)
         future: Future = Future()
         self._wake()
-        self._requester.tell(Acquire(ticket, demand, future))
+        self._requester.tell(AcquireSlot(ticket, demand, future))
         remaining_s = max(0.0, demand.deadline_s - self._clock.monotonic_s())
         try:
             result = future.result(timeout=remaining_s + _COMPLETION_GRACE_S)
         except FutureTimeoutError:
             if future.cancel():
-                self._requester.tell(Release(ticket, None, False))
-                raise NotRunError(DEADLINE_REASON, "no slot in time") from None
+                self._requester.tell(ReleaseSlot(ticket, None, False))
+                raise NotRunError(
+                    DEADLINE_REASON, "no slot granted before the deadline"
+                ) from None
             result = future.result()
         if isinstance(result, SlotRefusal):
-            raise NotRunError(result.reason, f"no slot: {result.reason}")
+            raise NotRunError(result.reason, f"slot request refused: {result.reason}")
         return result
 
     def release(
         self, grant: SlotGrant, *, service_time_s: float | None, host_failed: bool
     ) -> None:
-        self._requester.tell(Release(grant.ticket, service_time_s, host_failed))
+        self._requester.tell(ReleaseSlot(grant.ticket, service_time_s, host_failed))
--- a/src/sycamorecroft/routing/retry.py
+++ b/src/sycamorecroft/routing/retry.py
@@ -1,20 +1,23 @@
-"""Budget of retries: a token bucket filled by requests."""
+"""Retry budget: a token bucket that requests fill and retries empty."""
 
 from threading import Lock
 
 RETRY_RATIO = 0.1
-"""Retries per request (section 5.3), so that a failing pool gets at most a tenth of
-extra load."""
+"""Retries per request. It limits the extra load of a failing pool to a tenth
+(docs/design.md, section 5.3)."""
 
-BURST_COUNT = 10.0
-"""Retries saved up, enough for the requests in flight on one lost worker."""
+MAX_BURST_COUNT = 10.0
+"""Limit of accumulated retries; enough for the requests in flight on a lost worker."""
 
 
 class RetryBudget:
-    """Token bucket: each request adds a part of a token, each retry takes one."""
+    """Token bucket: each request adds ``ratio`` tokens, each retry spends one.
+
+    Thread-safe.
+    """
 
     def __init__(
-        self, *, ratio: float = RETRY_RATIO, burst_count: float = BURST_COUNT
+        self, *, ratio: float = RETRY_RATIO, burst_count: float = MAX_BURST_COUNT
     ) -> None:
         self._ratio = ratio
         self._burst_count = burst_count
@@ -22,13 +25,14 @@
         self._lock = Lock()
 
     def record_request(self) -> None:
-        """Adds the share of a retry that a first attempt earns."""
+        """Adds the tokens of a first attempt."""
         with self._lock:
             self._tokens = min(self._burst_count, self._tokens + self._ratio)
 
     def try_spend(self) -> bool:
-        """
-        :returns: whether a retry is within the budget; takes its token if so.
+        """Spends a token if one is available.
+
+        :returns: whether the retry is within the budget.
         """
         with self._lock:
             if self._tokens < 1.0:
--- a/src/sycamorecroft/routing/slots.py
+++ b/src/sycamorecroft/routing/slots.py
@@ -1,4 +1,4 @@
-"""Slots of the workers of one pool, as its owner knows them."""
+"""Slots of the workers of one pool, as a queue owner tracks them."""
 
 import heapq
 from collections.abc import Iterable
@@ -9,25 +9,27 @@
     check_slots_within_limit,
 )
 from sycamorecroft.pools.state import HostRecord, HostState, PoolView
-from sycamorecroft.routing.ejection import CROWDED_PAUSE_S, WorkerHealth
+from sycamorecroft.routing.ejection import MASS_EJECTION_S, WorkerHealth
 from sycamorecroft.routing.worker_index import LEVELS_COUNT, WorkerIndex
 
 LATENCY_GAIN = 1 / 8
-"""Gain of the moving average of a worker's service times."""
+"""Gain of the exponential moving average of a worker's service times."""
 
-SHORTEST_LATENCY_S = 0.0001
+MIN_LATENCY_S = 0.0001
+"""Lower limit in comparisons, so that the rack load counts for workers without a
+latency."""
 
 
 class _Worker:
-    """Worker with the tickets that occupy its slots."""
+    """Worker, its health and the tickets that occupy its slots."""
 
     __slots__ = (
         "address",
-        "draining_since_s",
         "health",
         "host",
+        "inactive_since_s",
         "is_active",
-        "is_member",
+        "is_in_pool",
         "latency_s",
         "rack",
         "slots_count",
@@ -39,16 +41,16 @@
         self.address = ""
         self.rack = ""
         self.slots_count = 0
-        self.is_member = False
+        self.is_in_pool = False
         self.is_active = False
-        self.draining_since_s: float | None = None
+        self.inactive_since_s: float | None = None
         self.tickets: set[str] = set()
         self.health = WorkerHealth()
         self.latency_s = 0.0
 
     def level(self) -> int | None:
         """
-        :returns: load level, ``None`` when the worker takes no grant.
+        :returns: load level from 0, ``None`` if the worker may get no grant.
         """
         occupied_count = len(self.tickets)
         if not self.is_active or occupied_count >= self.slots_count:
@@ -59,7 +61,7 @@
 
 
 class _Rack:
-    """Occupation of the active workers of one rack."""
+    """Total and occupied slots of the active workers of one rack."""
 
     __slots__ = ("occupied_count", "slots_count")
 
@@ -73,14 +75,14 @@
 
 
 class SlotTable:
-    """Slots of a pool: least-loaded choice, ejection, and the limit of the owner."""
+    """Slots of a pool: least-loaded selection, ejection and the share of the owner."""
 
     def __init__(self, pool: str, random: Random) -> None:
         self.pool = pool
         self._workers: dict[str, _Worker] = {}
         self._racks: dict[str, _Rack] = {}
         self._index = WorkerIndex(random)
-        self._ejected: list[tuple[float, str]] = []
+        self._probe_times: list[tuple[float, str]] = []
         self._ejected_count = 0
         self._view_version = -1
         self._reached_count = 1
@@ -92,8 +94,8 @@
     @property
     def limit_count(self) -> int:
         """
-        :returns: slots of active workers that this owner may occupy: all, or the
-            share of its side of a partition, at least one.
+        :returns: number of slots of active workers that this owner may occupy: all,
+            or in a network partition the share of its side, at least one.
         """
         share = self.slots_count * self._reached_count // self._registered_count
         return min(self.slots_count, max(1, share))
@@ -105,7 +107,7 @@
     @property
     def occupied_count(self) -> int:
         """
-        :returns: occupied slots of active workers.
+        :returns: number of occupied slots of active workers.
         """
         return self._occupied_count
 
@@ -115,11 +117,11 @@
 
     def ejected_hosts(self) -> tuple[str, ...]:
         """
-        :returns: workers that get no requests since they failed, in order of name.
+        :returns: workers that get no grants because they failed, sorted by name.
         """
         if not self._ejected_count:
             return ()
-        hosts = {host for _, host in self._ejected if host in self._workers}
+        hosts = {host for _, host in self._probe_times if host in self._workers}
         return tuple(
             sorted(host for host in hosts if self._workers[host].health.is_ejected)
         )
@@ -128,15 +130,17 @@
         return self.free_count > 0 and len(self._index) > 0
 
     def set_share(self, reached_count: int, registered_count: int) -> None:
-        """
-        :param reached_count: registered entry hosts that this owner sees (m).
-        :param registered_count: registered entry hosts (n), at least 1.
+        """Sets the share of slots that this owner may occupy to m / n.
+
+        :param reached_count: number of registered entry hosts that this owner reaches
+            (m).
+        :param registered_count: number of registered entry hosts (n), at least 1.
         """
         self._registered_count = max(1, registered_count)
         self._reached_count = min(max(1, reached_count), self._registered_count)
 
     def apply_view(self, view: PoolView, now_s: float) -> None:
-        """Takes over host records; an older view than the current one is ignored."""
+        """Applies the host records of the view; ignores an older view."""
         if view.version < self._view_version:
             return
         self._view_version = view.version
@@ -148,24 +152,24 @@
         for record in records.values():
             self._apply_record(record, now_s)
         for host in list(self._workers.keys() - records.keys()):
-            self._withdraw_worker(self._workers[host], now_s)
+            self._remove_worker(self._workers[host], now_s)
         self._recount()
 
     def choose(self, excluded: tuple[str, ...]) -> str | None:
         """
-        :returns: a worker with a free slot: the least loaded, among these the one
-            with low latency in a little-used rack.
+        :returns: a worker of the least loaded level with a free slot, preferably with
+            low latency and in a little-used rack; ``None`` if there is none.
         """
         hosts = self._index.sample(excluded)
         if not hosts:
             return None
         if len(hosts) == 1:
             return hosts[0]
-        return min(hosts, key=self._preference)
+        return min(hosts, key=self._selection_cost)
 
-    def is_only_choice(self, excluded: tuple[str, ...]) -> bool:
+    def is_every_active_worker_excluded(self, excluded: tuple[str, ...]) -> bool:
         """
-        :returns: whether every active worker of the pool is excluded.
+        :returns: whether ``excluded`` contains every active worker of the pool.
         """
         active_count = sum(
             1
@@ -180,25 +184,25 @@
     def grant(self, host: str, ticket: str, now_s: float) -> None:
         """Occupies a slot for a new grant.
 
-        :raises InvariantError: if the worker drains or has no free slot.
+        :raises InvariantError: if the worker is draining or has no free slot.
         """
         worker = self._workers[host]
-        since_s = worker.draining_since_s
+        since_s = worker.inactive_since_s
         draining_for_s = None if since_s is None else now_s - since_s
         check_no_grant_to_draining(host, draining_for_s)
         occupied_count = len(worker.tickets) + 1
         check_slots_within_limit({host: occupied_count}, {host: worker.slots_count})
-        worker.health.granted(ticket)
+        worker.health.record_grant(ticket)
         self._occupy(worker, ticket)
 
-    def hold(self, host: str, ticket: str) -> None:
-        """Occupies a slot for a grant of an earlier owner, whatever the limits are."""
+    def restore_grant(self, host: str, ticket: str) -> None:
+        """Occupies a slot for an existing grant, even beyond the limits."""
         worker = self._workers.get(host)
         if worker is None:
             worker = self._workers[host] = _Worker(host)
         self._occupy(worker, ticket)
 
-    def vacate(
+    def release(
         self,
         host: str,
         ticket: str,
@@ -206,29 +210,29 @@
         host_failed: bool,
         now_s: float,
     ) -> None:
-        """Frees the slot of a grant and learns from its result."""
+        """Frees the slot of a grant and records the result for health and latency."""
         worker = self._workers[host]
         worker.tickets.discard(ticket)
         if worker.is_active:
             self._occupied_count -= 1
             self._racks[worker.rack].occupied_count -= 1
-        self._learn(worker, ticket, service_time_s, host_failed, now_s)
-        if not worker.tickets and not worker.is_member:
+        self._record_result(worker, ticket, service_time_s, host_failed, now_s)
+        if not worker.tickets and not worker.is_in_pool:
             del self._workers[host]
-        self._index.place(host, worker.level())
+        self._index.set_level(host, worker.level())
 
-    def advance(self, now_s: float) -> None:
-        """Lets ejected workers whose pause has ended take a probe."""
-        while self._ejected and self._ejected[0][0] <= now_s:
-            _, host = heapq.heappop(self._ejected)
+    def start_due_probes(self, now_s: float) -> None:
+        """Allows one probe to each worker whose ejection time has passed."""
+        while self._probe_times and self._probe_times[0][0] <= now_s:
+            _, host = heapq.heappop(self._probe_times)
             worker = self._workers.get(host)
             if worker is not None and worker.health.start_probing(now_s):
                 self._ejected_count -= 1
-                self._index.place(host, worker.level())
+                self._index.set_level(host, worker.level())
 
     def occupied_hosts(self) -> frozenset[str]:
         """
-        :returns: workers with at least one grant, draining ones included.
+        :returns: workers with at least one grant, including draining ones.
         """
         return frozenset(
             host for host, worker in self._workers.items() if worker.tickets
@@ -236,16 +240,16 @@
 
     def occupied_counts(self, hosts: Iterable[str]) -> dict[str, int]:
         """
-        :returns: number of grants on each of the hosts.
+        :returns: number of grants on each of ``hosts``.
         """
         return {
             host: len(self._workers[host].tickets) if host in self._workers else 0
             for host in hosts
         }
 
-    def _preference(self, host: str) -> float:
+    def _selection_cost(self, host: str) -> float:
         worker = self._workers[host]
-        latency_s = max(worker.latency_s, SHORTEST_LATENCY_S)
+        latency_s = max(worker.latency_s, MIN_LATENCY_S)
         return latency_s * (1.0 + self._racks[worker.rack].load_ratio)
 
     def _occupy(self, worker: _Worker, ticket: str) -> None:
@@ -255,9 +259,9 @@
         if worker.is_active:
             self._occupied_count += 1
             self._racks[worker.rack].occupied_count += 1
-        self._index.place(worker.host, worker.level())
+        self._index.set_level(worker.host, worker.level())
 
-    def _learn(
+    def _record_result(
         self,
         worker: _Worker,
         ticket: str,
@@ -266,24 +270,26 @@
         now_s: float,
     ) -> None:
         if host_failed:
-            if worker.health.failed(ticket, now_s):
+            if worker.health.record_failure(ticket, now_s):
                 self._schedule_probe(worker, now_s)
         elif service_time_s is None:
-            worker.health.unused(ticket)
+            worker.health.record_unused(ticket)
         else:
-            worker.health.succeeded(ticket)
+            worker.health.record_success(ticket)
             if worker.latency_s == 0.0:
                 worker.latency_s = service_time_s
             worker.latency_s += LATENCY_GAIN * (service_time_s - worker.latency_s)
 
     def _schedule_probe(self, worker: _Worker, now_s: float) -> None:
         self._ejected_count += 1
-        heapq.heappush(self._ejected, (worker.health.until_s, worker.host))
+        heapq.heappush(self._probe_times, (worker.health.ejected_until_s, worker.host))
         if 2 * self._ejected_count <= self.active_count:
             return
         for other in self._workers.values():
-            if other.health.shorten(now_s + CROWDED_PAUSE_S):
-                heapq.heappush(self._ejected, (other.health.until_s, other.host))
+            if other.health.shorten_ejection(now_s + MASS_EJECTION_S):
+                heapq.heappush(
+                    self._probe_times, (other.health.ejected_until_s, other.host)
+                )
 
     def _apply_record(self, record: HostRecord, now_s: float) -> None:
         worker = self._workers.get(record["host"])
@@ -292,7 +298,7 @@
         worker.address = record["address"]
         worker.rack = record["rack"]
         worker.slots_count = record["slots_count"]
-        worker.is_member = True
+        worker.is_in_pool = True
         is_active = record["state"] is HostState.ACTIVE
         if is_active and not worker.is_active:
             self._reset_health(worker)
@@ -305,16 +311,16 @@
     def _set_active(self, worker: _Worker, is_active: bool, now_s: float) -> None:
         worker.is_active = is_active
         if is_active:
-            worker.draining_since_s = None
-        elif worker.draining_since_s is None:
-            worker.draining_since_s = now_s
+            worker.inactive_since_s = None
+        elif worker.inactive_since_s is None:
+            worker.inactive_since_s = now_s
 
-    def _withdraw_worker(self, worker: _Worker, now_s: float) -> None:
-        """The host left the pool; its record stays while grants are outstanding."""
+    def _remove_worker(self, worker: _Worker, now_s: float) -> None:
+        """Removes a worker that left the pool once it has no outstanding grants."""
         worker.slots_count = 0
-        worker.is_member = False
+        worker.is_in_pool = False
         self._set_active(worker, False, now_s)
-        self._index.place(worker.host, None)
+        self._index.set_level(worker.host, None)
         if not worker.tickets:
             del self._workers[worker.host]
 
@@ -325,7 +331,7 @@
         self.active_count = 0
         self._ejected_count = 0
         for worker in self._workers.values():
-            self._index.place(worker.host, worker.level())
+            self._index.set_level(worker.host, worker.level())
             if not worker.is_active:
                 continue
             rack = self._racks.setdefault(worker.rack, _Rack())
--- a/src/sycamorecroft/routing/tests/test_dispatch.py
+++ b/src/sycamorecroft/routing/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Failure tests of the dispatcher against a small scripted server on loopback."""
+"""Tests of the dispatcher against a scripted server on the loopback interface."""
 
 import contextlib
 import socket
@@ -32,14 +32,14 @@
 
 
 class ScriptedServer:
-    """Answers each connection by a script: bytes to read, bytes to send, ending."""
+    """Server that reads and sends given bytes on each connection, then closes it."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         self.read_bytes: int | None = None
         self.response = b""
-        self.reset = False
+        self.is_reset = False
         self.keep_open_s = 0.0
         self.connections_count = 0
         self.received_bytes = 0
@@ -57,22 +57,24 @@
 
     def _answer(self, connection: socket.socket) -> None:
         received = b""
-        wanted = self.read_bytes
-        while wanted is None or len(received) < wanted:
-            part = connection.recv(65536 if wanted is None else wanted - len(received))
-            received += part
-            if not part or (wanted is None and received.endswith(REQUEST.body)):
+        limit_bytes = self.read_bytes
+        while limit_bytes is None or len(received) < limit_bytes:
+            chunk = connection.recv(
+                65536 if limit_bytes is None else limit_bytes - len(received)
+            )
+            received += chunk
+            if not chunk or (limit_bytes is None and received.endswith(REQUEST.body)):
                 break
         self.received_bytes = len(received)
         if self.response:
             connection.sendall(self.response)
         time.sleep(self.keep_open_s)
-        if self.reset:
+        if self.is_reset:
             linger = struct.pack("ii", 1, 0)
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
     def close(self) -> None:
-        # Wakes the accepting thread, which otherwise keeps the socket listening.
+        # Unblocks the accepting thread, which otherwise keeps the socket listening.
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
@@ -101,34 +103,36 @@
     )
 
 
-@pytest.mark.parametrize("reset", [True, False])
-def test_cut_at_each_byte_of_the_request_may_have_run(server, dispatcher, reset):
-    # Guards against a retry of a request of which the worker got a part.
+@pytest.mark.parametrize("is_reset", [True, False])
+def test_request_truncated_at_each_byte_may_have_run(server, dispatcher, is_reset):
+    """Guards against a retry of a request that the worker received in part."""
     dispatch(dispatcher, server.address)
-    server.reset = reset
+    server.is_reset = is_reset
     for count in range(server.received_bytes + 1):
         server.read_bytes = count
         outcome = dispatch(dispatcher, server.address)
         assert outcome.kind is AttemptKind.MAY_HAVE_RUN, count
-        assert outcome.bytes_sent
+        assert outcome.has_sent_bytes
 
 
 @pytest.mark.parametrize(
     "response", [LENGTH_RESPONSE, CHUNKED_RESPONSE, EMPTY_RESPONSE]
 )
-@pytest.mark.parametrize("reset", [True, False])
-def test_response_cut_at_each_byte_is_never_accepted(
-    server, dispatcher, response, reset
+@pytest.mark.parametrize("is_reset", [True, False])
+def test_response_truncated_at_each_byte_is_rejected(
+    server, dispatcher, response, is_reset
 ):
-    # Guards against a truncated response passed on as whole (I3), also where the cut
-    # leaves a valid shorter status line, header or chunk size.
-    server.reset = reset
+    """Guards against a truncated response that is returned as complete (I3).
+
+    Some truncations leave a valid but shorter status line, header or chunk size.
+    """
+    server.is_reset = is_reset
     for count in range(len(response)):
         server.response = response[:count]
         outcome = dispatch(dispatcher, server.address)
         assert outcome.kind is AttemptKind.MAY_HAVE_RUN, response[:count]
         assert outcome.response is None
-    server.reset = False
+    server.is_reset = False
     server.response = response
     outcome = dispatch(dispatcher, server.address)
     assert outcome.kind is AttemptKind.COMPLETE
@@ -151,8 +155,8 @@
         (b"gibberish\r\n\r\n", AttemptReason.RESPONSE_BROKEN),
     ],
 )
-def test_wrong_response_may_have_run(server, dispatcher, response, reason):
-    # Guards against the answer of another request, or one without a provable end.
+def test_invalid_response_may_have_run(server, dispatcher, response, reason):
+    """Guards against the response to another request or one without a definite end."""
     server.response = response
     outcome = dispatch(dispatcher, server.address)
     assert (outcome.kind, outcome.reason) == (AttemptKind.MAY_HAVE_RUN, reason)
@@ -163,17 +167,17 @@
     outcome = dispatch(dispatcher, server.address)
     assert outcome.kind is AttemptKind.NOT_SENT
     assert outcome.reason is AttemptReason.CONNECT_FAILED
-    assert not outcome.bytes_sent
+    assert not outcome.has_sent_bytes
 
 
-def test_passed_deadline_is_not_sent(server, dispatcher):
+def test_request_after_its_deadline_is_not_sent(server, dispatcher):
     outcome = dispatch(dispatcher, server.address, timeout_s=-0.1)
     assert outcome.kind is AttemptKind.NOT_SENT
     assert outcome.reason is AttemptReason.DEADLINE
 
 
 def test_invalid_header_is_not_sent(server, dispatcher):
-    # Guards against header injection, and against its report as a worker failure.
+    """Guards against header injection, and against counting it as a worker failure."""
     request = REQUEST._replace(headers={"X-Note": "a\r\nSycamorecroft-Request-Id: r2"})
     outcome = dispatcher.dispatch(
         server.address, request, deadline_s=time.monotonic() + 1, refusal_statuses=()
@@ -182,8 +186,8 @@
     assert outcome.reason is AttemptReason.INVALID_REQUEST
 
 
-def test_only_a_configured_and_whole_refusal_counts_as_refused(server, dispatcher):
-    # Guards against a 503 of a service that gives no guarantee, and a cut refusal.
+def test_only_a_configured_and_complete_refusal_counts_as_refused(server, dispatcher):
+    """Guards against a truncated refusal, and a 503 of a service without guarantee."""
     refusal = b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbusy"
     server.response = refusal
     assert dispatch(dispatcher, server.address).kind is AttemptKind.COMPLETE
@@ -194,7 +198,7 @@
     assert outcome.kind is AttemptKind.MAY_HAVE_RUN
 
 
-def test_redirect_is_passed_on_and_not_followed(server, dispatcher):
+def test_redirect_is_returned_and_not_followed(server, dispatcher):
     server.response = (
         b"HTTP/1.1 307 Moved\r\nLocation: http://127.0.0.1:1/\r\n"
         b"Content-Length: 0\r\n\r\n"
@@ -205,7 +209,7 @@
 
 
 def test_slow_response_ends_at_the_deadline(server, dispatcher):
-    # Guards against a deadline that bounds each read but not the whole exchange.
+    """Guards against a deadline that limits each read but not the whole exchange."""
     server.response = LENGTH_RESPONSE[:-5]
     server.keep_open_s = 5.0
     started_s = time.monotonic()
@@ -216,8 +220,10 @@
 
 
 def test_connection_closed_while_idle_is_replaced(server, dispatcher):
-    # Guards against sending on a connection that the server has closed, which would
-    # leave the outcome of a request unknown without need.
+    """Guards against sending on a connection that the server has closed.
+
+    The outcome of the request would be unknown.
+    """
     server.response = LENGTH_RESPONSE
     for _ in range(5):
         assert dispatch(dispatcher, server.address).kind is AttemptKind.COMPLETE
@@ -226,7 +232,7 @@
 
 
 def test_bytes_after_a_response_never_reach_the_next_request(server, dispatcher):
-    # Guards against a late or doubled answer taken for that of the next request.
+    """Guards against a late or duplicate response to the next request."""
     server.response = LENGTH_RESPONSE * 2
     server.keep_open_s = 0.2
     for _ in range(3):
@@ -237,7 +243,7 @@
 
 
 class EchoHandler(BaseHTTPRequestHandler):
-    """Echoes body and request id after a delay named by the body."""
+    """Echoes body and request id after the delay that the body contains."""
 
     protocol_version = "HTTP/1.1"
 
@@ -251,21 +257,20 @@
         )
 
     def log_message(self, format, *arguments):
-        """Keeps the test's output free of access logs."""
+        """Suppresses access logs in the test output."""
 
 
 class EchoServer(ThreadingHTTPServer):
-    """Server whose backlog takes a connection of each thread of the test.
+    """Server whose backlog holds a connection of each thread of the test.
 
-    With the default of 5 a connection may be dropped and miss the connect timeout.
+    With the default of 5 a connection may be dropped and exceed the connect timeout.
     """
 
     request_queue_size = 64
 
 
-def test_concurrent_and_late_responses_reach_their_own_request(dispatcher):
-    # Guards against a response that arrives after its deadline and is then taken for
-    # that of a later request on the same connection (I3).
+def test_concurrent_and_late_responses_match_their_request(dispatcher):
+    """Guards against a late response that is returned for a later request (I3)."""
     server = EchoServer(("127.0.0.1", 0), EchoHandler)
     threading.Thread(target=server.serve_forever, daemon=True).start()
 
--- a/src/sycamorecroft/routing/tests/test_execution.py
+++ b/src/sycamorecroft/routing/tests/test_execution.py
@@ -1,4 +1,4 @@
-"""Failure tests of the executor with fakes at its interfaces."""
+"""Tests of the request executor with fakes of its dependencies."""
 
 import pytest
 
@@ -29,7 +29,7 @@
 REQUEST = ServiceRequest(
     "r1", "ondangwa", "rating", "inspectors", Urgency.NORMAL, 10.0, True, "k1", {}, b"x"
 )
-ONCE = REQUEST._replace(is_repeatable=False)
+NON_REPEATABLE = REQUEST._replace(is_repeatable=False)
 RESPONSE = RecordedResponse(200, {}, b"fit")
 
 COMPLETE = AttemptOutcome(AttemptKind.COMPLETE, None, RESPONSE, True, 0.1)
@@ -56,7 +56,7 @@
     def acquire(self, demand):
         self.demands.append(demand)
         if len(self.demands) > self.grants_count:
-            raise NotRunError("expected_wait", "no slot in time")
+            raise NotRunError("expected_wait", "slot request refused")
         ticket = f"t{len(self.demands)}"
         self.held[ticket] = SlotGrant(ticket, "e1", f"w{len(self.demands)}", "ip:1")
         return self.held[ticket]
@@ -97,7 +97,7 @@
         return outcome
 
 
-class Bench:
+class ExecutorFixture:
     def __init__(self, *outcomes, claims=None, grants_count=9, burst_count=10.0):
         self.slots = FakeSlots(grants_count)
         is_fake = isinstance(claims, FakeClaims)
@@ -117,42 +117,42 @@
         return execution
 
 
-# Each path: request, attempts, claim result, grants, expected outcome and reason,
-# number of attempts, claims recorded and released. Guards against a slot or a claim
-# that is kept on some path, and against a second run of a request.
+# Each path: request, attempts, claim result, number of grants, expected outcome and
+# reason, numbers of attempts, recorded and released claims.
 PATHS = {
     "complete": (REQUEST, [COMPLETE], None, 9, "run", None, 1, 0, 0),
     "no slot": (REQUEST, [], None, 0, "not-run", "expected_wait", 0, 0, 0),
     "not sent, then complete": (
-        ONCE, [NOT_SENT, COMPLETE], None, 9, "run", None, 2, 1, 0),
+        NON_REPEATABLE, [NOT_SENT, COMPLETE], None, 9, "run", None, 2, 1, 0),
     "refused, then complete": (
-        ONCE, [REFUSED, COMPLETE], None, 9, "run", None, 2, 1, 0),
+        NON_REPEATABLE, [REFUSED, COMPLETE], None, 9, "run", None, 2, 1, 0),
     "broken, then complete": (
         REQUEST, [BROKEN, COMPLETE], None, 9, "run", None, 2, 0, 0),
-    "broken once only": (
-        ONCE, [BROKEN], None, 9, "unknown", "response_broken", 1, 0, 0),
+    "broken, not repeatable": (
+        NON_REPEATABLE, [BROKEN], None, 9, "unknown", "response_broken", 1, 0, 0),
     "refused, then broken": (
-        ONCE, [REFUSED, BROKEN], None, 9, "unknown", "response_broken", 2, 0, 0),
+        NON_REPEATABLE, [REFUSED, BROKEN], None, 9,
+        "unknown", "response_broken", 2, 0, 0),
     "broken, then not sent": (
         REQUEST, [BROKEN, NOT_SENT], None, 2, "unknown", "response_broken", 2, 0, 0),
     "too large": (
         REQUEST, [TOO_LARGE], None, 9, "unknown", "response_too_large", 1, 0, 0),
     "never sent": (
-        ONCE, [NOT_SENT] * 4, None, 9, "not-run", "connect_failed", 4, 0, 1),
+        NON_REPEATABLE, [NOT_SENT] * 4, None, 9, "not-run", "connect_failed", 4, 0, 1),
     "not sent, no further slot": (
-        ONCE, [NOT_SENT], None, 1, "not-run", "expected_wait", 1, 0, 1),
+        NON_REPEATABLE, [NOT_SENT], None, 1, "not-run", "expected_wait", 1, 0, 1),
     "claim outcome unknown": (
-        ONCE, [], NotRunError("claim_unknown", "no answer"), 9,
+        NON_REPEATABLE, [], NotRunError("claim_unknown", "no answer"), 9,
         "not-run", "claim_unknown", 0, 0, 0),
     "claim of another attempt": (
-        ONCE, [], PendingClaim(ClaimKey("ondangwa", "rating", "k1")), 9,
+        NON_REPEATABLE, [], PendingClaim(ClaimKey("ondangwa", "rating", "k1")), 9,
         "unknown", "claim_pending", 0, 0, 0),
-    "recorded response": (ONCE, [], RESPONSE, 9, "run", None, 0, 0, 0),
+    "recorded response": (NON_REPEATABLE, [], RESPONSE, 9, "run", None, 0, 0, 0),
 }  # fmt: skip
 
 
-class SettlingClaims(FakeClaims):
-    """Another attempt's claim, pending at first and then as given."""
+class ResolvingClaims(FakeClaims):
+    """Claims that are pending at the first look-up and then return ``result``."""
 
     def claim(self, key, *, body_digest, deadline_s):
         self.claims_count += 1
@@ -164,105 +164,110 @@
 
 
 @pytest.mark.parametrize(
-    ("settled", "outcome", "attempts_count"),
+    ("resolved", "outcome", "attempts_count"),
     [
         (RESPONSE, "run", 0),
         (None, "run", 1),
         (NotRunError("store_unavailable", "no answer"), "unknown", 0),
     ],
-    ids=["recorded", "released", "store down"],
+    ids=["recorded", "released", "store unavailable"],
 )
-def test_a_pending_claim_is_looked_up_again(settled, outcome, attempts_count):
-    """Guards against not-run for a request that another attempt may have run."""
-    bench = Bench(*[COMPLETE] * attempts_count, claims=SettlingClaims(settled))
-    execution = bench.run(ONCE)
+def test_pending_claim_is_looked_up_again(resolved, outcome, attempts_count):
+    """Guards against reporting not-run although another attempt may have run."""
+    fixture = ExecutorFixture(
+        *[COMPLETE] * attempts_count, claims=ResolvingClaims(resolved)
+    )
+    execution = fixture.run(NON_REPEATABLE)
     assert (execution.outcome, execution.attempts_count) == (outcome, attempts_count)
-    assert bench.slots.held == {}
+    assert fixture.slots.held == {}
 
 
 @pytest.mark.parametrize("path", PATHS)
 def test_each_path_reports_its_outcome_and_releases_the_slot(path):
+    """Guards against a slot or claim that isn't released, and against a second run."""
     request, attempts, claims, grants_count, *expected = PATHS[path]
     outcome, reason, attempts_count, recorded_count, released_count = expected
-    bench = Bench(*attempts, claims=claims, grants_count=grants_count)
-    execution = bench.run(request)
+    fixture = ExecutorFixture(*attempts, claims=claims, grants_count=grants_count)
+    execution = fixture.run(request)
     assert (execution.outcome, execution.reason) == (outcome, reason)
     assert execution.attempts_count == attempts_count
     assert (execution.response is not None) == (outcome == "run")
-    assert len(bench.claims.recorded) == recorded_count
-    assert len(bench.claims.released) == released_count
+    assert len(fixture.claims.recorded) == recorded_count
+    assert len(fixture.claims.released) == released_count
     is_pending = reason == "claim_pending"
-    assert bench.claims.claims_count <= 1 + is_pending * len(PENDING_WAITS_S)
-    assert bench.slots.held == {}
-    assert bench.dispatcher.outcomes == []
+    assert fixture.claims.claims_count <= 1 + is_pending * len(PENDING_WAITS_S)
+    assert fixture.slots.held == {}
+    assert fixture.dispatcher.outcomes == []
 
 
 @pytest.mark.parametrize(
     ("request_", "attempt", "claims"),
     [
-        (ONCE, None, RequestError("key used with another body")),
-        (ONCE, None, RuntimeError("claims")),
+        (NON_REPEATABLE, None, RequestError("key used with another body")),
+        (NON_REPEATABLE, None, RuntimeError("claims")),
         (REQUEST, RuntimeError("dispatch"), None),
     ],
 )
-def test_slot_is_released_when_a_part_raises(request_, attempt, claims):
-    bench = Bench(attempt, claims=claims)
+def test_slot_is_released_when_a_dependency_raises(request_, attempt, claims):
+    fixture = ExecutorFixture(attempt, claims=claims)
     with pytest.raises((RequestError, RuntimeError)):
-        bench.run(request_)
-    assert bench.slots.held == {}
+        fixture.run(request_)
+    assert fixture.slots.held == {}
 
 
-def test_request_that_may_run_once_needs_a_key():
-    bench = Bench()
+def test_non_repeatable_request_needs_an_idempotency_key():
+    fixture = ExecutorFixture()
     with pytest.raises(RequestError, match="Idempotency-Key"):
-        bench.run(ONCE._replace(idempotency_key=None))
-    assert bench.slots.demands == []
+        fixture.run(NON_REPEATABLE._replace(idempotency_key=None))
+    assert fixture.slots.demands == []
 
 
 def test_retry_avoids_the_hosts_that_failed():
-    bench = Bench(NOT_SENT, NOT_SENT, COMPLETE)
-    bench.run(REQUEST)
-    assert bench.slots.demands[2].excluded_hosts == ("w1", "w2")
-    assert bench.slots.releases == [(None, True), (None, True), (0.1, False)]
-    assert bench.retries == ["connect_failed", "connect_failed"]
+    fixture = ExecutorFixture(NOT_SENT, NOT_SENT, COMPLETE)
+    fixture.run(REQUEST)
+    assert fixture.slots.demands[2].excluded_hosts == ("w1", "w2")
+    assert fixture.slots.releases == [(None, True), (None, True), (0.1, False)]
+    assert fixture.retries == ["connect_failed", "connect_failed"]
 
 
 def test_retries_stay_within_the_budget():
-    # Guards against a retry storm: without a limit 1,000 broken requests would make
-    # 3,000 retries.
+    """Guards against a retry storm.
+
+    Without the budget 1,000 failing requests would cause 3,000 retries.
+    """
     attempts = [BROKEN] * 1200
-    bench = Bench(*attempts, grants_count=len(attempts))
+    fixture = ExecutorFixture(*attempts, grants_count=len(attempts))
     for _ in range(1000):
-        assert bench.run(REQUEST).outcome is Outcome.UNKNOWN
-    assert 100 <= len(bench.retries) <= 110
+        assert fixture.run(REQUEST).outcome is Outcome.UNKNOWN
+    assert 100 <= len(fixture.retries) <= 110
 
 
 def test_short_timeout_of_a_caller_does_not_count_against_the_worker():
-    # Guards against callers with very short timeouts that eject healthy workers.
-    bench = Bench(TIMEOUT, TIMEOUT._replace(elapsed_s=6.0), burst_count=0.0)
-    bench.run(REQUEST)
-    bench.run(REQUEST)
-    assert [failed for _, failed in bench.slots.releases] == [False, True]
+    """Guards against ejection of healthy workers by very short timeouts."""
+    fixture = ExecutorFixture(TIMEOUT, TIMEOUT._replace(elapsed_s=6.0), burst_count=0.0)
+    fixture.run(REQUEST)
+    fixture.run(REQUEST)
+    assert [failed for _, failed in fixture.slots.releases] == [False, True]
 
 
-def test_passed_deadline_after_the_grant_is_not_run():
-    bench = Bench()
-    bench.clock.advance(11.0)
-    execution = bench.run(ONCE)
+def test_deadline_that_passes_after_the_grant_is_not_run():
+    fixture = ExecutorFixture()
+    fixture.clock.advance(11.0)
+    execution = fixture.run(NON_REPEATABLE)
     assert (execution.outcome, execution.reason) == ("not-run", "deadline")
-    assert len(bench.claims.released) == 1
-    assert bench.slots.releases == [(None, False)]
+    assert len(fixture.claims.released) == 1
+    assert fixture.slots.releases == [(None, False)]
 
 
-def test_outcome_that_contradicts_itself_raises():
-    # Guards against a report of not run for an attempt that sent bytes (I4).
-    bench = Bench(NOT_SENT._replace(bytes_sent=True), grants_count=1)
+def test_inconsistent_attempt_outcome_raises():
+    """Guards against reporting not-run for an attempt that sent bytes (I4)."""
+    fixture = ExecutorFixture(NOT_SENT._replace(has_sent_bytes=True), grants_count=1)
     with pytest.raises(InvariantError, match="^I4:"):
-        bench.run(REQUEST)
+        fixture.run(REQUEST)
 
 
 class SlowClaims(FakeClaims):
-    """A claim that is held only after a pause of the process."""
+    """Claims that succeed only after the process has paused for 2 s."""
 
     clock = None
 
@@ -271,13 +276,13 @@
         return super().claim(key, body_digest=body_digest, deadline_s=deadline_s)
 
 
-def test_a_grant_that_is_old_before_its_dispatch_is_given_back():
-    """Guards against a dispatch on a slot that the owner has reclaimed meanwhile."""
+def test_grant_that_is_too_old_before_its_dispatch_is_released():
+    """Guards against a dispatch on a slot that the owner has reclaimed."""
     claims = SlowClaims()
-    bench = Bench(COMPLETE, claims=claims)
-    claims.clock = bench.clock
-    execution = bench.run(ONCE)
+    fixture = ExecutorFixture(COMPLETE, claims=claims)
+    claims.clock = fixture.clock
+    execution = fixture.run(NON_REPEATABLE)
     assert (execution.outcome, execution.attempts_count) == ("run", 1)
-    assert len(bench.slots.demands) == 2
+    assert len(fixture.slots.demands) == 2
     assert claims.claims_count == 1
-    assert bench.slots.releases[0] == (None, False)
+    assert fixture.slots.releases[0] == (None, False)
--- a/src/sycamorecroft/routing/tests/test_failover.py
+++ b/src/sycamorecroft/routing/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Failure tests of tickets that move between queue owners."""
+"""Tests of tickets whose queue is transferred between owners."""
 
 import pytest
 
@@ -12,17 +12,17 @@
 from sycamorecroft.pools.state import HostRecord, HostState, PoolView
 from sycamorecroft.routing.interfaces import SlotDemand
 from sycamorecroft.routing.messages import SlotGrant, SlotRefusal
-from sycamorecroft.routing.owner import Membership, QueueOwner
+from sycamorecroft.routing.owner import QueueMembership, QueueOwner
 from sycamorecroft.routing.requester import (
-    Complete,
+    CompleteTicket,
     Requester,
     SendRelease,
     SendRequest,
 )
 
-ENTRIES = ("e1", "e2", "e3")
-OWNER = owner_of("rating", ENTRIES)
-OTHERS = tuple(entry for entry in ENTRIES if entry != OWNER)
+ENTRY_HOSTS = ("e1", "e2", "e3")
+OWNER = owner_of("rating", ENTRY_HOSTS)
+OTHER_ENTRY_HOSTS = tuple(name for name in ENTRY_HOSTS if name != OWNER)
 DEMAND = SlotDemand("rating", "default", Urgency.NORMAL, 10.0, ())
 
 
@@ -37,69 +37,76 @@
     )
     account = AccountConfiguration("trust", ("outapi",), 0.99, {})
     configuration = FleetConfiguration(1, {"trust": account}, {}, {"rating": service})
-    membership = Membership(frozenset(ENTRIES), len(ENTRIES))
+    membership = QueueMembership(frozenset(ENTRY_HOSTS), len(ENTRY_HOSTS))
     view = PoolView(1, {"w1": host})
     return QueueOwner("rating", configuration, view, membership, 0.0)
 
 
 class Failover:
-    """A requester whose view of the members changes, and one owner that stays."""
+    """A requester with a changing view of the entry hosts, and one queue owner."""
 
     def __init__(self):
         self.queue = new_owner()
-        self.requester = Requester(OTHERS[0])
-        self.requester.set_live(ENTRIES, 0.0)
+        self.requester = Requester(OTHER_ENTRY_HOSTS[0])
+        self.requester.set_live_entry_hosts(ENTRY_HOSTS, 0.0)
         self.results = {}
 
-    def pass_on(self, decisions, now_s):
-        """Releases come first, as in a batch that was merged in the outbox."""
+    def deliver(self, decisions, now_s):
+        """Delivers releases first, as in a batch that the outbox has merged."""
         own = [d for d in decisions if getattr(d, "owner", None) == OWNER]
         for decision in (d for d in own if isinstance(d, SendRelease)):
-            self.answer(self.queue.release(decision.release, now_s), now_s)
+            self.reply(self.queue.release(decision.release, now_s), now_s)
         for decision in (d for d in own if isinstance(d, SendRequest)):
-            self.answer(self.queue.request(decision.request, now_s), now_s)
-        for decision in (d for d in decisions if isinstance(d, Complete)):
+            self.reply(self.queue.request(decision.request, now_s), now_s)
+        for decision in (d for d in decisions if isinstance(d, CompleteTicket)):
             self.results[decision.ticket] = decision.result
 
-    def answer(self, decisions, now_s):
+    def reply(self, decisions, now_s):
         grants = [d for d in decisions if isinstance(d, SlotGrant)]
         refusals = [d for d in decisions if isinstance(d, SlotRefusal)]
-        self.pass_on(
+        self.deliver(
             self.requester.receive(OWNER, now_s, grants=grants, refusals=refusals),
             now_s,
         )
 
     def acquire(self, ticket, now_s):
-        self.pass_on(self.requester.acquire(ticket, DEMAND, now_s), now_s)
+        self.deliver(self.requester.acquire(ticket, DEMAND, now_s), now_s)
 
 
 @pytest.mark.parametrize("is_merged", [False, True])
-def test_a_ticket_that_returns_to_its_former_owner_is_served(is_merged):
-    """Guards against an owner that ignores a ticket which was withdrawn from it and
-    then sent to it again: the ticket waited until its deadline."""
-    run = Failover()
-    run.acquire("rating/first", 0.0)
-    run.acquire("rating/second", 0.0)
-    left = run.requester.set_live(OTHERS, 1.0)
-    returned = run.requester.set_live(ENTRIES, 1.2)
+def test_ticket_that_returns_to_its_former_owner_is_served(is_merged):
+    """Guards against an owner that ignores a ticket that was withdrawn and sent again.
+
+    The ticket then waited until its deadline.
+    """
+    failover = Failover()
+    failover.acquire("rating/first", 0.0)
+    failover.acquire("rating/second", 0.0)
+    moved_away = failover.requester.set_live_entry_hosts(OTHER_ENTRY_HOSTS, 1.0)
+    moved_back = failover.requester.set_live_entry_hosts(ENTRY_HOSTS, 1.2)
     if is_merged:
-        run.pass_on(left + returned, 1.2)
+        failover.deliver(moved_away + moved_back, 1.2)
     else:
-        run.pass_on(left, 1.0)
-        run.pass_on(returned, 1.2)
-    run.pass_on(run.requester.release("rating/first", 0.1, False), 2.0)
-    assert isinstance(run.results.get("rating/second"), SlotGrant)
-
-
-def test_a_refusal_that_was_lost_is_followed_by_a_new_answer():
-    """Guards against a ticket whose refusal was lost with the stream: sent again under
-    it got no answer until its deadline."""
-    run = Failover()
-    run.acquire("rating/first", 0.0)
-    second = run.requester.acquire("rating/second", DEMAND, 0.0)
+        failover.deliver(moved_away, 1.0)
+        failover.deliver(moved_back, 1.2)
+    failover.deliver(failover.requester.release("rating/first", 0.1, False), 2.0)
+    assert isinstance(failover.results.get("rating/second"), SlotGrant)
+
+
+def test_ticket_whose_refusal_was_lost_is_answered_again():
+    """Guards against a ticket without an answer after its refusal was lost.
+
+    The refusal was lost with the stream, and the owner ignored the resent ticket until
+    its deadline.
+    """
+    failover = Failover()
+    failover.acquire("rating/first", 0.0)
+    second = failover.requester.acquire("rating/second", DEMAND, 0.0)
     request = next(d.request for d in second if isinstance(d, SendRequest))
-    run.queue.request(request._replace(deadline_s=0.5), 0.0)
-    assert run.queue.tick(1.0), "the owner refuses, and the refusal is lost"
-    run.pass_on(run.requester.resync(OWNER, 1.1), 1.1)
-    run.pass_on(run.requester.release("rating/first", 0.1, False), 2.0)
-    assert isinstance(run.results.get("rating/second"), SlotGrant)
+    failover.queue.request(request._replace(deadline_s=0.5), 0.0)
+    assert failover.queue.tick(1.0), (
+        "the owner refuses the request, and the refusal is lost"
+    )
+    failover.deliver(failover.requester.resync(OWNER, 1.1), 1.1)
+    failover.deliver(failover.requester.release("rating/first", 0.1, False), 2.0)
+    assert isinstance(failover.results.get("rating/second"), SlotGrant)
--- a/src/sycamorecroft/routing/tests/test_owner.py
+++ b/src/sycamorecroft/routing/tests/test_owner.py
@@ -3,9 +3,9 @@
 from benchmarks.flood_load import site_configuration, site_view
 from sycamorecroft.configuration.fleet import Urgency
 from sycamorecroft.routing.messages import HeldGrant, SlotRelease, SlotRequest
-from sycamorecroft.routing.owner import Membership, QueueOwner
+from sycamorecroft.routing.owner import QueueMembership, QueueOwner
 
-MEMBERS = Membership(frozenset({"e1"}), 1)
+MEMBERS = QueueMembership(frozenset({"e1"}), 1)
 
 
 def new_owner(workers_count=4, **options):
@@ -22,34 +22,36 @@
     )
 
 
-def serve(owner, numbers, failing, now_s):
-    """Sends requests one at a time; returns how many the failing worker got."""
+def serve_requests(owner, numbers, failing_host, now_s):
+    """Serves the requests one at a time; returns how many the failing worker got."""
     failures_count = 0
     for number in numbers:
         (grant,) = owner.request(request(number, now_s), now_s)
-        is_failure = grant.host == failing
+        is_failure = grant.host == failing_host
         failures_count += is_failure
         owner.release(SlotRelease(grant.ticket, "e1", 0.01, is_failure), now_s)
     return failures_count
 
 
-def test_failing_worker_gets_one_probe_per_growing_pause():
-    # Guards against a worker that fails at once, is therefore least loaded, and draws
-    # most requests.
+def test_failing_worker_gets_one_probe_per_ejection():
+    """Guards against a failing worker that attracts most requests.
+
+    It fails immediately and is therefore the least loaded one.
+    """
     owner = new_owner()
-    assert serve(owner, range(200), "rating-0", 0.0) == 3
+    assert serve_requests(owner, range(200), "rating-0", 0.0) == 3
     assert owner.status().ejected_count == 1
     assert owner.status().ejected_hosts == ("rating-0",)
-    assert serve(owner, range(200, 400), "rating-0", 0.6) == 1
-    assert serve(owner, range(400, 600), "rating-0", 1.2) == 0
-    assert serve(owner, range(600, 800), "rating-0", 1.7) == 1
-    assert serve(owner, range(800, 1000), None, 3.8) == 0
+    assert serve_requests(owner, range(200, 400), "rating-0", 0.6) == 1
+    assert serve_requests(owner, range(400, 600), "rating-0", 1.2) == 0
+    assert serve_requests(owner, range(600, 800), "rating-0", 1.7) == 1
+    assert serve_requests(owner, range(800, 1000), None, 3.8) == 0
     assert owner.status().ejected_count == 0
     assert owner.status().ejected_hosts == ()
 
 
-def test_pool_returns_soon_after_all_workers_failed():
-    # Guards against long pauses of a whole pool after a fault that has ended.
+def test_pool_recovers_soon_after_all_workers_failed():
+    """Guards against a long ejection of a whole pool after its fault has ended."""
     owner = new_owner(2)
     now_s = 0.0
     number = 0
@@ -69,22 +71,22 @@
 
 
 def test_new_owner_waits_for_held_grants():
-    # Guards against a new owner that grants slots which are occupied.
+    """Guards against a new owner that grants occupied slots."""
     owner = new_owner(1, grant_from_s=0.3)
     assert owner.request(request(0, 0.0), 0.0) == []
     for number in range(8):
         held = HeldGrant(f"h{number}", "e1", "rating", "rating-0", 9.0)
-        assert owner.held(held, 0.1) == []
+        assert owner.restore_grant(held, 0.1) == []
     assert owner.start_granting(0.2) == []
     (grant,) = owner.release(SlotRelease("h0", "e1", 0.1, False), 0.2)
     assert grant.ticket == "t0"
 
 
-def test_ticket_granted_again_after_a_reclaim_ends_once():
-    # Guards against a stale deadline entry that ends the second grant of a ticket.
+def test_ticket_granted_again_after_reclaim_keeps_its_deadline():
+    """Guards against a stale deadline that ends the second grant of a ticket."""
     owner = new_owner()
     owner.request(request(0, 0.0), 0.0)
-    owner.membership_changed(Membership(frozenset(), 1), 0.1)
+    owner.membership_changed(QueueMembership(frozenset(), 1), 0.1)
     owner.tick(2.2)
     assert owner.status().granted_count == 0
     assert len(owner.request(request(0, 0.0), 2.3)) == 1
@@ -92,9 +94,11 @@
     assert owner.status().granted_count == 0
 
 
-def test_ticket_that_moved_away_and_back_is_granted():
-    # Guards against requests lost when membership changes twice in a row: requesters
-    # withdraw the ticket and send it again.
+def test_ticket_withdrawn_and_sent_again_is_granted():
+    """Guards against requests lost by two membership changes in a row.
+
+    Requesters withdraw the ticket and send it to the same owner again.
+    """
     owner = new_owner()
     owner.request(request(0, 0.0), 0.0)
     owner.release(SlotRelease("t0", "e1", None, False), 0.1)
--- a/src/sycamorecroft/routing/tickets.py
+++ b/src/sycamorecroft/routing/tickets.py
@@ -1,4 +1,4 @@
-"""Names of slot tickets: the service and a random part."""
+"""Names of slot tickets, which consist of the service and a random part."""
 
 import secrets
 
@@ -7,13 +7,13 @@
 
 def new_ticket(service: str) -> str:
     """
-    :returns: a unique ticket for a slot of ``service``.
+    :returns: new unique ticket for a slot of ``service``.
     """
     return f"{service}/{secrets.token_urlsafe(_RANDOM_BYTES)}"
 
 
 def service_of(ticket: str) -> str:
     """
-    :returns: the service that ``ticket`` is for.
+    :returns: service whose slot ``ticket`` requests.
     """
     return ticket.rpartition("/")[0]
--- a/src/sycamorecroft/routing/worker_connection.py
+++ b/src/sycamorecroft/routing/worker_connection.py
@@ -1,9 +1,9 @@
-"""Connection to a backend server that records sending and bounds reading.
+"""Connection to a backend server with a deadline and strict end-of-stream checks.
 
-It differs from urllib3's connection in three points: it knows whether a byte was
-handed to the socket; the deadline bounds the whole exchange and not each read; and a
-header, chunk or trailer line that is cut off by the end of the stream is an error,
-where ``http.client`` would accept a shortened status line, header or chunk size.
+It differs from urllib3's connection in three points: it records whether a byte was
+written to the socket; the deadline limits the whole exchange and not each read; and a
+header, chunk or trailer line truncated by the end of the stream is an error, where
+``http.client`` would accept a truncated status line, header or chunk size.
 """
 
 import io
@@ -18,23 +18,23 @@
 
 from sycamorecroft.clock import Clock
 
-IDLE_LIMIT_S = 2.0
-"""Servers close idle connections after 5 s or more; a younger connection
-rarely meets that close while a request is being sent, which would leave its outcome
-unknown."""
+MAX_IDLE_S = 2.0
+"""Limit of the idle time of a reused connection. Servers close idle connections
+after 5 s or more, so the limit makes it unlikely that a connection closes while a
+request is being sent, which would leave the outcome of the request unknown."""
 
 
-class Attempt(local):
+class AttemptContext(local):
     """Attempt of the current thread: its deadline and whether a byte was sent."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.deadline_s = 0.0
-        self.bytes_sent = False
+        self.has_sent_bytes = False
 
     def start(self, deadline_s: float) -> None:
         self.deadline_s = deadline_s
-        self.bytes_sent = False
+        self.has_sent_bytes = False
 
     def remaining_s(self) -> float:
         """
@@ -47,32 +47,32 @@
         return remaining_s
 
 
-class _Reuse:
-    """Whether a connection may carry a further request."""
+class _ReuseState:
+    """Decides whether a connection may be used for a further request."""
 
-    __slots__ = ("has_surplus", "used_s")
+    __slots__ = ("has_unread_bytes", "last_used_s")
 
     def __init__(self) -> None:
-        self.has_surplus = False
-        self.used_s = 0.0
+        self.has_unread_bytes = False
+        self.last_used_s = 0.0
 
 
 class _DeadlineReader(io.RawIOBase):
-    """Raw stream of a socket, each read bounded by the deadline."""
+    """Raw stream of a socket whose reads are limited by the deadline of the attempt."""
 
-    def __init__(self, sock: socket.socket, attempt: Attempt) -> None:
+    def __init__(self, sock: socket.socket, context: AttemptContext) -> None:
         self._sock = sock
         self._raw = sock.makefile("rb", buffering=0)
-        self._attempt = attempt
-        self.is_paused = False
+        self._context = context
+        self.is_suspended = False
 
     def readable(self) -> bool:
         return True
 
     def readinto(self, buffer: memoryview) -> int | None:
-        if self.is_paused:
+        if self.is_suspended:
             return None
-        self._sock.settimeout(self._attempt.remaining_s())
+        self._sock.settimeout(self._context.remaining_s())
         return self._raw.readinto(buffer)
 
     def close(self) -> None:
@@ -80,88 +80,92 @@
         super().close()
 
 
-class _WholeLineReader(io.BufferedReader):
-    """Buffered stream whose lines must be whole, and which notices surplus bytes."""
+class _CompleteLineReader(io.BufferedReader):
+    """Buffered stream that rejects truncated lines and detects unread bytes."""
 
-    def __init__(self, raw: _DeadlineReader, reuse: _Reuse) -> None:
+    def __init__(self, raw: _DeadlineReader, reuse_state: _ReuseState) -> None:
         super().__init__(raw)
-        self._reuse = reuse
+        self._reuse_state = reuse_state
 
     def readline(self, size: int | None = -1, /) -> bytes:
         line = super().readline(size)
         if not line.endswith(b"\n") and (size is None or size < 0 or len(line) < size):
-            message = "the stream ended within a line of the response"
+            message = "connection closed by the server within a line of the response"
             raise ConnectionResetError(message)
         return line
 
     def close(self) -> None:
-        """Closes the stream; bytes left in the buffer bar the connection from reuse.
+        """Closes the stream; unread bytes in the buffer prevent reuse.
 
-        These are a doubled or unasked response, and the next one may be cut by them.
+        They belong to a duplicate or unrequested response, which would otherwise be
+        read as the start of the next one.
         """
         if not self.closed:
-            self.raw.is_paused = True
-            self._reuse.has_surplus = self._reuse.has_surplus or bool(self.peek(1))
+            self.raw.is_suspended = True
+            self._reuse_state.has_unread_bytes = (
+                self._reuse_state.has_unread_bytes or bool(self.peek(1))
+            )
         super().close()
 
 
-class _BoundedResponse(HTTPResponse):
-    """Response read through the deadline and the whole-line check."""
+class _DeadlineResponse(HTTPResponse):
+    """Response read with the attempt's deadline and the truncated-line check."""
 
     def __init__(
         self,
         sock: socket.socket,
         *arguments: object,
-        attempt: Attempt,
-        reuse: _Reuse,
+        context: AttemptContext,
+        reuse_state: _ReuseState,
         **keywords: object,
     ) -> None:
         super().__init__(sock, *arguments, **keywords)
         self.fp.close()
-        self.fp = _WholeLineReader(_DeadlineReader(sock, attempt), reuse)
+        self.fp = _CompleteLineReader(_DeadlineReader(sock, context), reuse_state)
 
 
 class WorkerConnection(HTTPConnection):
-    """urllib3 connection bound to the attempt of the thread that uses it."""
+    """urllib3 connection that uses the attempt of the current thread."""
 
-    attempt: Attempt
+    context: AttemptContext
 
     def __init__(self, *arguments: object, **keywords: object) -> None:
         super().__init__(*arguments, **keywords)
-        self._start_reuse()
+        self._reset_reuse_state()
 
     def connect(self) -> None:
-        self._start_reuse()
+        self._reset_reuse_state()
         super().connect()
 
-    def _start_reuse(self) -> None:
-        self._reuse = _Reuse()
+    def _reset_reuse_state(self) -> None:
+        self._reuse_state = _ReuseState()
         self.response_class = partial(
-            _BoundedResponse, attempt=self.attempt, reuse=self._reuse
+            _DeadlineResponse, context=self.context, reuse_state=self._reuse_state
         )
 
     @property
     def is_connected(self) -> bool:
         """
-        :returns: whether the connection may be reused: open, silent, recently used.
+        :returns: whether the connection may be reused: it is open, recently used and
+            has no unread bytes.
         """
-        if self._reuse.has_surplus:
+        if self._reuse_state.has_unread_bytes:
             return False
-        idle_s = self.attempt.clock.monotonic_s() - self._reuse.used_s
-        return idle_s <= IDLE_LIMIT_S and super().is_connected
+        idle_s = self.context.clock.monotonic_s() - self._reuse_state.last_used_s
+        return idle_s <= MAX_IDLE_S and super().is_connected
 
     def send(self, data: bytes) -> None:
         if self.sock is None:
             self.connect()
-        self.sock.settimeout(self.attempt.remaining_s())
-        self._reuse.used_s = self.attempt.clock.monotonic_s()
-        self.attempt.bytes_sent = True
+        self.sock.settimeout(self.context.remaining_s())
+        self._reuse_state.last_used_s = self.context.clock.monotonic_s()
+        self.context.has_sent_bytes = True
         super().send(data)
 
 
-def worker_pool_class(attempt: Attempt) -> Callable[..., HTTPConnectionPool]:
+def worker_pool_class(context: AttemptContext) -> Callable[..., HTTPConnectionPool]:
     """
-    :returns: class of connection pools whose connections use the attempt.
+    :returns: class of connection pools whose connections use ``context``.
     """
-    connection_class = type("_Connection", (WorkerConnection,), {"attempt": attempt})
+    connection_class = type("_Connection", (WorkerConnection,), {"context": context})
     return type("_Pool", (HTTPConnectionPool,), {"ConnectionCls": connection_class})
--- a/src/sycamorecroft/routing/worker_index.py
+++ b/src/sycamorecroft/routing/worker_index.py
@@ -1,73 +1,77 @@
-"""Index of workers by load, for a choice whose cost doesn't grow with their number."""
+"""Index of workers by load, which selects one at a cost independent of their number."""
 
 from random import Random
 
 LEVELS_COUNT = 16
-"""Load levels of the index; workers of a level count as equally loaded."""
+"""Number of load levels; workers of the same level count as equally loaded."""
 
 SAMPLE_COUNT = 4
-"""Workers of the least loaded level that are compared (power of d choices)."""
+"""Number of workers of the least loaded level that are compared (power of d
+choices)."""
 
 
 class _Level:
-    """Set with constant-time add, remove and random access."""
+    """Set with constant-time insertion, removal and random access."""
 
-    __slots__ = ("members", "_positions")
+    __slots__ = ("_index_by_host", "members")
 
     def __init__(self) -> None:
         self.members: list[str] = []
-        self._positions: dict[str, int] = {}
+        self._index_by_host: dict[str, int] = {}
 
     def add(self, host: str) -> None:
-        self._positions[host] = len(self.members)
+        self._index_by_host[host] = len(self.members)
         self.members.append(host)
 
     def remove(self, host: str) -> None:
-        position = self._positions.pop(host)
+        position = self._index_by_host.pop(host)
         last = self.members.pop()
         if last != host:
             self.members[position] = last
-            self._positions[last] = position
+            self._index_by_host[last] = position
 
 
 class WorkerIndex:
-    """Workers that may take a grant, by load level."""
+    """Workers that may get a grant, by load level."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
         self._levels = [_Level() for _ in range(LEVELS_COUNT)]
-        self._level_of: dict[str, int] = {}
+        self._level_by_host: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._level_of)
+        return len(self._level_by_host)
 
-    def place(self, host: str, level: int | None) -> None:
-        """
-        :param level: load level from 0, ``None`` when the worker takes no grant.
+    def set_level(self, host: str, level: int | None) -> None:
+        """Adds, moves or removes a worker.
+
+        :param level: load level from 0, ``None`` if the worker may get no grant.
         """
-        current = self._level_of.get(host)
+        current = self._level_by_host.get(host)
         if current == level:
             return
         if current is not None:
             self._levels[current].remove(host)
-            del self._level_of[host]
+            del self._level_by_host[host]
         if level is not None:
             self._levels[level].add(host)
-            self._level_of[host] = level
+            self._level_by_host[host] = level
 
     def sample(self, excluded: tuple[str, ...]) -> list[str]:
         """
-        :returns: up to ``SAMPLE_COUNT`` workers of the least loaded level that has
-            any outside ``excluded``; empty if there are none.
+        :returns: up to ``SAMPLE_COUNT`` workers outside ``excluded``, of the least
+            loaded level that has any; empty if there are none.
         """
         for level in self._levels:
             if level.members:
-                hosts = self._sample_level(level.members, excluded)
+                hosts = self._sample_members(level.members, excluded)
                 if hosts:
                     return hosts
         return []
 
-    def _sample_level(self, members: list[str], excluded: tuple[str, ...]) -> list[str]:
+    def _sample_members(
+        self, members: list[str], excluded: tuple[str, ...]
+    ) -> list[str]:
         count = min(len(members), SAMPLE_COUNT + len(excluded))
         start = self._random.randrange(len(members))
         hosts = []
