--- a/src/sycamorecroft/cli/common.py
+++ b/src/sycamorecroft/cli/common.py
@@ -1,4 +1,4 @@
-"""What several command groups share."""
+"""Options, command registration and client creation shared by all command groups."""
 
 import os
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 SettingsPath = Annotated[
     Path | None,
-    Parameter(help=f"File of the tool's settings; {SETTINGS_VARIABLE} by default."),
+    Parameter(help=f"Settings file of the tool; {SETTINGS_VARIABLE} by default."),
 ]
 JsonFlag = Annotated[
     bool, Parameter(negative="", help="Print JSON for programs instead of tables.")
@@ -25,7 +25,7 @@
 
 
 class Command(NamedTuple):
-    """A command with its name and examples for its help."""
+    """A command: its name, its function and the examples in its help."""
 
     name: str
     function: Callable[..., object]
@@ -33,7 +33,7 @@
 
 
 def register_commands(app: App, *commands: Command) -> None:
-    """Adds commands to ``app``, with examples and exit codes in their help."""
+    """Adds ``commands`` to ``app``; their help ends with examples and exit codes."""
     for command in commands:
         examples = "\n\n".join(
             f"Example: sycamorecroft {example}" for example in command.examples
@@ -45,24 +45,25 @@
         )
 
 
-def path_part(value: str) -> str:
+def quote_path_segment(value: str) -> str:
     """
-    :returns: ``value`` as one part of a URL's path.
+    :returns: ``value`` percent-encoded as one segment of a URL path.
     """
     return quote(value, safe="")
 
 
-def operator_client(settings: Path | None) -> OperatorClient:
+def create_operator_client(settings: Path | None) -> OperatorClient:
     """
-    :param settings: file of the tool's settings, ``None`` to take it from the
-        environment.
-    :raises SettingsError: if no file is named, or the file is not valid.
+    :param settings: settings file, ``None`` for the one that the environment variable
+        ``SYCAMORECROFT_SETTINGS`` names.
+    :returns: a client of the daemons that the settings list.
+    :raises SettingsError: if no file is given or its content is invalid.
     """
     path = settings or os.environ.get(SETTINGS_VARIABLE)
     if not path:
         message = (
-            "no file of the tool's settings is named; use --settings or the "
-            f"environment variable {SETTINGS_VARIABLE}"
+            "no settings file given; use --settings or set the environment variable "
+            f"{SETTINGS_VARIABLE}"
         )
         raise SettingsError(message)
     return OperatorClient(load_tool_settings(path))
--- a/src/sycamorecroft/cli/configuration_commands.py
+++ b/src/sycamorecroft/cli/configuration_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the configuration: validate, diff, apply, rollback, history."""
+"""Commands that validate, compare, publish and roll back the configuration."""
 
 import getpass
 from pathlib import Path
@@ -10,7 +10,7 @@
     Command,
     JsonFlag,
     SettingsPath,
-    operator_client,
+    create_operator_client,
     register_commands,
 )
 from sycamorecroft.cli.output import print_json, print_line, print_table
@@ -29,29 +29,35 @@
 )
 from sycamorecroft.errors import ConfigurationError
 
-TemplatePath = Annotated[Path, Parameter(help="File of the template.")]
+TemplatePath = Annotated[Path, Parameter(help="Template file.")]
 InventoryPath = Annotated[
     Path | None,
-    Parameter(help="File of the site's hosts; pools must not need more than it has."),
+    Parameter(
+        help="Host file of the site; pools must not need more hosts than it lists."
+    ),
 ]
 BaseVersion = Annotated[
     int,
-    Parameter(help="Version that the change is based on, as shown by diff or history."),
+    Parameter(
+        help="Version that the change is based on, as printed by diff or history."
+    ),
 ]
 Author = Annotated[
-    str | None, Parameter(help="Author in the history; the user's login by default.")
+    str | None, Parameter(help="Author in the history; the login name by default.")
 ]
 
-_FILES = "template.jsonc street-safety-trust.jsonc"
+_EXAMPLE_FILES = "template.jsonc street-safety-trust.jsonc"
 
 
 def register(app: App) -> None:
     """Adds the commands to ``app``."""
     register_commands(
         app,
-        Command("validate", validate, (f"validate {_FILES} --hosts hosts.json",)),
-        Command("diff", diff, (f"diff {_FILES}",)),
-        Command("apply", apply, (f"apply {_FILES} --base-version 4",)),
+        Command(
+            "validate", validate, (f"validate {_EXAMPLE_FILES} --hosts hosts.json",)
+        ),
+        Command("diff", diff, (f"diff {_EXAMPLE_FILES}",)),
+        Command("apply", apply, (f"apply {_EXAMPLE_FILES} --base-version 4",)),
         Command("rollback", rollback, ("rollback 3 --base-version 5",)),
         Command("history", history, ("history",)),
     )
@@ -63,9 +69,9 @@
     hosts: InventoryPath = None,
     json: JsonFlag = False,
 ) -> None:
-    """Check a template and parameter files without any daemon.
+    """Check a template and parameter files without calling a daemon.
 
-    :param parameters: Files of parameters, one for each account.
+    :param parameters: Parameter files, one per client account.
     """
     compiled = _compile(template, parameters, hosts)
     if json:
@@ -89,12 +95,12 @@
     settings: SettingsPath = None,
     json: JsonFlag = False,
 ) -> None:
-    """Show what applying the files would change, and what it costs.
+    """Show the changes that applying the files would make, and their cost in hosts.
 
-    :param parameters: Files of parameters, one for each account.
+    :param parameters: Parameter files, one per client account.
     """
     compiled = _compile(template, parameters, hosts)
-    client = operator_client(settings)
+    client = create_operator_client(settings)
     current = client.configuration()
     base_version = current.version if current else 0
     records = {record["host"]: record for record in client.hosts().hosts}
@@ -118,11 +124,11 @@
 ) -> None:
     """Compile the files and publish the result as a new version.
 
-    :param parameters: Files of parameters, one for each account.
+    :param parameters: Parameter files, one per client account.
     """
     compiled = _compile(template, parameters, hosts)
-    published = operator_client(settings).publish(
-        compiled, base_version=base_version, author=author or _login()
+    published = create_operator_client(settings).publish(
+        compiled, base_version=base_version, author=author or _login_name()
     )
     _print_published(published, json)
 
@@ -139,15 +145,15 @@
 
     :param to_version: Version whose content to publish.
     """
-    published = operator_client(settings).rollback(
-        to_version, base_version=base_version, author=author or _login()
+    published = create_operator_client(settings).rollback(
+        to_version, base_version=base_version, author=author or _login_name()
     )
     _print_published(published, json)
 
 
 def history(*, settings: SettingsPath = None, json: JsonFlag = False) -> None:
-    """List the last published versions, the latest first."""
-    versions = operator_client(settings).history()
+    """List the most recently published versions, latest first."""
+    versions = create_operator_client(settings).history()
     if json:
         print_json(versions)
         return
@@ -167,11 +173,11 @@
     )
 
 
-def _login() -> str:
+def _login_name() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError) as cause:
-        message = "the user has no login name; name the author with --author"
+        message = "the user has no login name; give the author with --author"
         raise ConfigurationError(message) from cause
 
 
@@ -202,7 +208,9 @@
         ("Pools", difference.pools),
         ("Services", difference.services),
     ):
-        print_table(title, ("name", "change", "field", "old", "new"), _rows(changes))
+        print_table(
+            title, ("name", "change", "field", "old", "new"), _change_rows(changes)
+        )
     print_table(
         "Availability budgets that get tighter",
         ("pool", "hosts allowed out", "new"),
@@ -222,7 +230,7 @@
     print_line(f"to publish, name --base-version {difference.old_version}")
 
 
-def _rows(changes: tuple[ItemChange, ...]) -> list[tuple[str, ...]]:
+def _change_rows(changes: tuple[ItemChange, ...]) -> list[tuple[str, ...]]:
     rows = []
     for change in changes:
         fields = change.fields or (("", "", ""),)
--- a/src/sycamorecroft/cli/exit_codes.py
+++ b/src/sycamorecroft/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command-line tool."""
+"""Exit codes of the command-line tool and the errors that map to them."""
 
 from enum import IntEnum
 
@@ -14,29 +14,29 @@
 )
 
 
-class OperatorRefusedError(SycamorecroftError):
-    """The daemon refused the operator's token."""
+class OperatorTokenRefusedError(SycamorecroftError):
+    """Raised when a daemon rejects the operator token."""
 
 
 class UnsuccessfulError(SycamorecroftError):
-    """What the command waited for ended without success or not in time."""
+    """Raised when a watched operation fails, is cancelled or exceeds the time limit."""
 
 
-class UnknownNameError(SycamorecroftError):
-    """No daemon knows what was asked for."""
+class NotFoundError(SycamorecroftError):
+    """Raised when the requested host, request, job log or file does not exist."""
 
 
 class ExitCode(IntEnum):
-    """Exit codes; programs may rely on them.
+    """Exit codes; a stable interface for scripts.
 
-    ``INVALID``: a file, setting or value is not valid; nothing was changed.
-    ``CONFLICT``: another operator published first; nothing was changed.
+    ``INVALID``: a file, setting or value is invalid; nothing was changed.
+    ``CONFLICT``: another operator's change was published first; nothing was changed.
     ``UNAVAILABLE``: no daemon or no store could be reached; nothing was changed.
     ``OUTCOME_UNKNOWN``: the change may have been made; the command can be repeated.
-    ``REFUSED``: the token was refused; nothing was changed.
-    ``UNSUCCESSFUL``: the command worked, but what it waited for ended without success
-    or not in time.
-    ``NOT_FOUND``: no daemon knows what was asked for.
+    ``REFUSED``: a daemon rejected the token; nothing was changed.
+    ``UNSUCCESSFUL``: the watched operation failed, was cancelled or did not end within
+    the time limit.
+    ``NOT_FOUND``: the requested object or file does not exist.
     """
 
     SUCCESS = 0
@@ -56,7 +56,7 @@
 )
 
 
-# Subclasses stand before their base classes.
+# The first matching class decides, so subclasses precede their base classes.
 _EXIT_CODES: tuple[tuple[type[SycamorecroftError], ExitCode], ...] = (
     (ConfigurationConflictError, ExitCode.CONFLICT),
     (ConfigurationError, ExitCode.INVALID),
@@ -65,17 +65,17 @@
     (StoreUnavailableError, ExitCode.UNAVAILABLE),
     (StoreOutcomeUnknownError, ExitCode.OUTCOME_UNKNOWN),
     (OutcomeUnknownError, ExitCode.OUTCOME_UNKNOWN),
-    (OperatorRefusedError, ExitCode.REFUSED),
+    (OperatorTokenRefusedError, ExitCode.REFUSED),
     (UnsuccessfulError, ExitCode.UNSUCCESSFUL),
-    (UnknownNameError, ExitCode.NOT_FOUND),
+    (NotFoundError, ExitCode.NOT_FOUND),
 )
 
 
 def exit_code_of(error: SycamorecroftError) -> ExitCode:
     """
-    :returns: the exit code that reports ``error``.
+    :returns: the exit code for ``error``, ``INTERNAL_ERROR`` for an unmapped class.
     """
-    for kind, code in _EXIT_CODES:
-        if isinstance(error, kind):
+    for error_type, code in _EXIT_CODES:
+        if isinstance(error, error_type):
             return code
     return ExitCode.INTERNAL_ERROR
--- a/src/sycamorecroft/cli/explain_commands.py
+++ b/src/sycamorecroft/cli/explain_commands.py
@@ -1,4 +1,4 @@
-"""Commands that tell why a host, a job or a request is where it is."""
+"""Commands that explain the state of a host or job and the outcome of a request."""
 
 from collections.abc import Iterator, Sequence
 from pathlib import Path
@@ -9,12 +9,12 @@
     Command,
     JsonFlag,
     SettingsPath,
-    operator_client,
-    path_part,
+    create_operator_client,
+    quote_path_segment,
     register_commands,
 )
-from sycamorecroft.cli.exit_codes import UnknownNameError
-from sycamorecroft.cli.log_history import LogLine, explain_job_by_lines, parse_lines
+from sycamorecroft.cli.exit_codes import NotFoundError
+from sycamorecroft.cli.log_history import LogLine, build_job_history, parse_log_lines
 from sycamorecroft.cli.operator_client import DaemonReply, Method
 from sycamorecroft.cli.operator_messages import (
     EXPLAIN_PATH,
@@ -30,7 +30,10 @@
 
 def register(app: App) -> None:
     """Adds the commands to ``app``."""
-    explain = App(name="explain", help="Tell the reasons in the order of decisions.")
+    explain = App(
+        name="explain",
+        help="Explain hosts, jobs and requests by the decisions made on them.",
+    )
     register_commands(
         explain,
         Command("host", explain_host, ("explain host rating-1",)),
@@ -48,42 +51,42 @@
 def explain_host(
     host: str, *, settings: SettingsPath = None, json: JsonFlag = False
 ) -> None:
-    """Tell what was decided on a host and what it waits for.
+    """Show the decisions made on a host and what it waits for.
 
     :param host: Name of the host.
     """
-    path = f"{EXPLAIN_PATH}/hosts/{path_part(host)}"
-    reply = operator_client(settings).call(Method.GET, path, HostFindingsReply)
+    path = f"{EXPLAIN_PATH}/hosts/{quote_path_segment(host)}"
+    reply = create_operator_client(settings).call(Method.GET, path, HostFindingsReply)
     _show_findings(f"Host {host}", reply, as_json=json)
 
 
 def explain_job(
     job: str, *, settings: SettingsPath = None, json: JsonFlag = False
 ) -> None:
-    """Tell what was decided on a job and what it waits for.
+    """Show the decisions made on a job and what it waits for.
 
     :param job: Id of the job.
     """
-    path = f"{EXPLAIN_PATH}/jobs/{path_part(job)}"
-    reply = operator_client(settings).call(Method.GET, path, JobFindingsReply)
+    path = f"{EXPLAIN_PATH}/jobs/{quote_path_segment(job)}"
+    reply = create_operator_client(settings).call(Method.GET, path, JobFindingsReply)
     _show_findings(f"Job {job}", reply, as_json=json)
 
 
 def explain_request(
     request: str, *, settings: SettingsPath = None, json: JsonFlag = False
 ) -> None:
-    """Tell why a request was not run, or why its outcome is unknown.
+    """Show why a request was not run, or why its outcome is unknown.
 
-    Asks all daemons. Each keeps its last 2,000 failed requests in memory.
+    Queries all daemons. Each keeps its last 2,000 failed requests in memory.
 
-    :param request: Value of the header Sycamorecroft-Request-Id of the answer.
+    :param request: Value of the response header Sycamorecroft-Request-Id.
     """
-    path = f"{EXPLAIN_PATH}/requests/{path_part(request)}"
-    replies = operator_client(settings).call_each(path, RequestReply)
-    found = [item.reply for item in replies if item.reply and item.reply.record]
-    if not found:
-        raise _not_found(request, replies)
-    reply = found[0]
+    path = f"{EXPLAIN_PATH}/requests/{quote_path_segment(request)}"
+    replies = create_operator_client(settings).call_each(path, RequestReply)
+    matches = [item.reply for item in replies if item.reply and item.reply.record]
+    if not matches:
+        raise _create_not_found_error(request, replies)
+    reply = matches[0]
     if json:
         print_json(reply)
         return
@@ -91,23 +94,23 @@
 
 
 def explain_log(job: str, files: list[Path], /, *, json: JsonFlag = False) -> None:
-    """Tell what became of a job on the users' machines, from the nodes' log files.
+    """Reconstruct the history of a job from the log files of the nodes.
 
-    Also tells what its hosts and workers lost or regained meanwhile.
+    Includes the dependencies that its hosts and workers lost or regained meanwhile.
 
     :param job: Id of the job, 16 hexadecimal digits.
-    :param files: Log files of all hosts, in any order.
+    :param files: Log files of all entry hosts, in any order.
     """
-    history = explain_job_by_lines(job, parse_lines(_read_lines(files)))
+    history = build_job_history(job, parse_log_lines(_read_lines(files)))
     if not history.lines:
         names = ", ".join(map(str, files))
-        message = f"no line on job {job!r} in {names}; pass the files of all hosts"
-        raise UnknownNameError(message)
+        message = f"no log line of job {job!r} in {names}; pass the files of all hosts"
+        raise NotFoundError(message)
     if json:
         print_json(history)
         return
     _print_log_lines(f"Job {job}", history.lines)
-    _print_log_lines("Its hosts and workers meanwhile", history.related)
+    _print_log_lines("Related events of its hosts and workers", history.related)
     for finding in history.findings:
         print_line(finding)
 
@@ -118,7 +121,7 @@
             with path.open(encoding="utf-8", errors="replace") as lines:
                 yield from lines
         except OSError as error:
-            raise UnknownNameError(f"{path} can't be read: {error}") from error
+            raise NotFoundError(f"{path} can't be read: {error}") from error
 
 
 def _print_log_lines(title: str, lines: Sequence[LogLine]) -> None:
@@ -138,21 +141,21 @@
     )
 
 
-def _not_found(
+def _create_not_found_error(
     request: str, replies: Sequence[DaemonReply]
-) -> UnknownNameError | StoreUnavailableError:
-    silent = [item for item in replies if item.reply is None]
-    if len(silent) == len(replies):
-        problems = "; ".join(f"{item.url} ({item.problem})" for item in silent)
+) -> NotFoundError | StoreUnavailableError:
+    unanswered = [item for item in replies if item.reply is None]
+    if len(unanswered) == len(replies):
+        problems = "; ".join(f"{item.url} ({item.problem})" for item in unanswered)
         return StoreUnavailableError(f"no daemon could be reached: {problems}")
     message = (
         f"no record of request {request!r}: it was run, came in through an entry host "
         "that isn't asked or was restarted since, or is too old"
     )
-    if silent:
-        urls = ", ".join(item.url for item in silent)
+    if unanswered:
+        urls = ", ".join(item.url for item in unanswered)
         message += f"; these daemons didn't answer: {urls}"
-    return UnknownNameError(message)
+    return NotFoundError(message)
 
 
 def _show_findings(
@@ -174,10 +177,10 @@
         print_line("it waits for nothing")
 
 
-def _print_request(entry: str, record: RequestRecordReply | None) -> None:
+def _print_request(entry_host: str, record: RequestRecordReply | None) -> None:
     assert record is not None
     print_line(
-        f"request {record.request_id} came in through {entry} and ended at "
+        f"request {record.request_id} came in through {entry_host} and ended at "
         f"{record.ended_at}: {record.outcome}, reason {record.reason}"
     )
     print_line(
--- a/src/sycamorecroft/cli/fleet_status.py
+++ b/src/sycamorecroft/cli/fleet_status.py
@@ -1,4 +1,4 @@
-"""Combines what the daemons tell of the fleet and finds what is wrong. Pure."""
+"""Combines the status replies of all daemons and derives problems; performs no I/O."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
@@ -7,7 +7,7 @@
 
 from sycamorecroft.cli.operator_client import DaemonReply
 from sycamorecroft.cli.operator_messages import (
-    EntryReply,
+    EntryHostReply,
     FailureCountReply,
     PoolReply,
     QueueReply,
@@ -16,9 +16,10 @@
 from sycamorecroft.maintenance import WaveState
 from sycamorecroft.maintenance.records import WaveRecord, deadline_of
 
-# Three missed calls of the registration, which is the rarest regular one.
+# Three registration intervals; registration is the least frequent regular call to the
+# table service.
 STORE_CONTACT_LIMIT_MS = 6000
-_OPEN = (WaveState.RUNNING, WaveState.PAUSED)
+_OPEN_WAVE_STATES = (WaveState.RUNNING, WaveState.PAUSED)
 _PAGES_BY_REASON = {
     "expected_wait": "flood",
     "urgent_wait": "flood",
@@ -37,14 +38,18 @@
 
 
 class Problem(NamedTuple):
-    """Something that is wrong, and what to do next."""
+    """A detected problem and the recommended next step."""
 
     problem: str
     next_step: str
 
 
 class OwnedQueue(NamedTuple):
-    """A service's queue and the entry host that owns it, empty if none tells of it."""
+    """A service's queue and its owner.
+
+    ``owner`` is empty and ``figures`` is ``None`` if no answering daemon owns the
+    queue.
+    """
 
     service: str
     owner: str
@@ -52,7 +57,7 @@
 
 
 class FleetStatus(NamedTuple):
-    """The fleet as all daemons together see it."""
+    """State of the fleet, combined from the status of all answering daemons."""
 
     in_force_version: int
     staged_version: int
@@ -61,31 +66,35 @@
     daemons_count: int
     pools: tuple[PoolReply, ...]
     queues: tuple[OwnedQueue, ...]
-    entries: tuple[EntryReply, ...]
+    entries: tuple[EntryHostReply, ...]
     leases: Mapping[str, str]
     failures: tuple[FailureCountReply, ...]
     waves: tuple[WaveRecord, ...]
     problems: tuple[Problem, ...]
 
 
-def combine(
+def combine_statuses(
     replies: Sequence[DaemonReply],
     waves: Sequence[WaveRecord] | None,
     now: datetime,
 ) -> FleetStatus:
     """
-    :param replies: at least one with a status.
-    :param waves: ``None`` when they can't be read.
-    :param now: wall time, to which deadlines of waves are compared.
+    :param replies: one per daemon; at least one has a status.
+    :param waves: all maintenance waves, ``None`` if they could not be read.
+    :param now: current time, compared with the deadlines of the waves.
+    :returns: the combined status. Configuration, pools, services and entry hosts are
+        those of the daemon with the newest host view.
     """
     statuses = [item.reply for item in replies if item.reply is not None]
     newest = max(statuses, key=lambda status: status.view_version)
-    queues = _queues(newest.services, statuses)
-    failures = _failures(statuses)
-    open_waves = tuple(wave for wave in waves or () if wave["state"] in _OPEN)
+    queues = _owned_queues(newest.services, statuses)
+    failures = _failure_counts(statuses)
+    open_waves = tuple(
+        wave for wave in waves or () if wave["state"] in _OPEN_WAVE_STATES
+    )
     problems = (
         *_daemon_problems(replies),
-        *_entry_problems(newest),
+        *_entry_host_problems(newest),
         *_version_problems(newest),
         *_pool_problems(newest.pool_counts),
         *_queue_problems(queues),
@@ -108,7 +117,7 @@
     )
 
 
-def _queues(
+def _owned_queues(
     services: Iterable[str], statuses: Sequence[StatusReply]
 ) -> tuple[OwnedQueue, ...]:
     queues = []
@@ -122,7 +131,7 @@
     return tuple(queues)
 
 
-def _failures(statuses: Sequence[StatusReply]) -> tuple[FailureCountReply, ...]:
+def _failure_counts(statuses: Sequence[StatusReply]) -> tuple[FailureCountReply, ...]:
     counts: Counter[tuple[str, str, str]] = Counter()
     for status in statuses:
         for item in status.recent_failures:
@@ -139,28 +148,29 @@
             )
 
 
-def _entry_problems(status: StatusReply) -> Iterable[Problem]:
-    known = {entry.entry for entry in status.entries}
-    unreached = sorted(entry.entry for entry in status.entries if not entry.is_reached)
-    for entry in unreached:
+def _entry_host_problems(status: StatusReply) -> Iterable[Problem]:
+    known = {item.entry for item in status.entries}
+    unreachable = sorted(item.entry for item in status.entries if not item.is_reached)
+    for entry_host in unreachable:
         yield Problem(
-            f"entry host {entry} is not reached by its peers",
+            f"entry host {entry_host} is not reached by its peers",
             "see docs/operators/entry-host-lost.md",
         )
     if len(known) < status.expected_entries_count:
         yield Problem(
-            f"{status.expected_entries_count - len(known)} expected entry hosts were "
-            "never heard of",
+            f"{status.expected_entries_count - len(known)} expected entry hosts have "
+            "never joined",
             "see docs/operators/replace-an-entry-host.md",
         )
-    silent = sorted(
-        entry.entry
-        for entry in status.entries
-        if entry.is_reached and entry.store_contact_age_ms > STORE_CONTACT_LIMIT_MS
+    without_store_contact = sorted(
+        item.entry
+        for item in status.entries
+        if item.is_reached and item.store_contact_age_ms > STORE_CONTACT_LIMIT_MS
     )
-    if silent:
+    if without_store_contact:
         yield Problem(
-            f"no recent answer of the table service on {', '.join(silent)}",
+            f"no recent answer of the table service on "
+            f"{', '.join(without_store_contact)}",
             "see docs/operators/store-down.md",
         )
 
@@ -170,15 +180,15 @@
         yield Problem(
             "no configuration is in force", "see docs/operators/not-in-force.md"
         )
-    behind = sorted(
-        entry.entry
-        for entry in status.entries
-        if entry.is_reached and entry.in_force_version < status.staged_version
+    outdated = sorted(
+        item.entry
+        for item in status.entries
+        if item.is_reached and item.in_force_version < status.staged_version
     )
-    if behind:
+    if outdated:
         yield Problem(
             f"configuration version {status.staged_version} is not in force on "
-            f"{', '.join(behind)}",
+            f"{', '.join(outdated)}",
             "repeat status after 10 s; then see docs/operators/not-in-force.md",
         )
 
@@ -254,7 +264,7 @@
                 f"maintenance wave {wave['id']} is paused",
                 f"sycamorecroft maintenance resume {wave['id']}",
             )
-        if wave["state"] in _OPEN and deadline_of(wave) < now:
+        if wave["state"] in _OPEN_WAVE_STATES and deadline_of(wave) < now:
             yield Problem(
                 f"maintenance wave {wave['id']} is past its deadline",
                 f"sycamorecroft maintenance explain {wave['id']}",
--- a/src/sycamorecroft/cli/host_commands.py
+++ b/src/sycamorecroft/cli/host_commands.py
@@ -1,4 +1,4 @@
-"""Commands on hosts: list, show, move."""
+"""Commands that list and show hosts and request their moves between pools."""
 
 from typing import Annotated
 
@@ -8,11 +8,11 @@
     Command,
     JsonFlag,
     SettingsPath,
-    operator_client,
-    path_part,
+    create_operator_client,
+    quote_path_segment,
     register_commands,
 )
-from sycamorecroft.cli.exit_codes import UnknownNameError
+from sycamorecroft.cli.exit_codes import NotFoundError
 from sycamorecroft.cli.operator_client import Method
 from sycamorecroft.cli.operator_messages import (
     HOSTS_PATH,
@@ -51,8 +51,8 @@
     settings: SettingsPath = None,
     json: JsonFlag = False,
 ) -> None:
-    """List hosts with their pool and state."""
-    reply = operator_client(settings).hosts()
+    """List hosts with their pools and states."""
+    reply = create_operator_client(settings).hosts()
     hosts = [
         host
         for host in reply.hosts
@@ -66,7 +66,7 @@
         ("host", "pool", "state", "moves to", "maintenance wave", "rack", "slots"),
         (_host_row(host) for host in hosts),
     )
-    print_line("why a host is where it is: sycamorecroft explain host HOST")
+    print_line("why a host is in its state: sycamorecroft explain host HOST")
 
 
 def _host_row(host: HostRecord) -> tuple[object, ...]:
@@ -84,18 +84,18 @@
 def show_host(
     host: str, *, settings: SettingsPath = None, json: JsonFlag = False
 ) -> None:
-    """Show the record of a host.
+    """Show all fields of a host.
 
     :param host: Name of the host.
     """
-    reply = operator_client(settings).hosts()
+    reply = create_operator_client(settings).hosts()
     record = next((item for item in reply.hosts if item["host"] == host), None)
     if record is None:
         message = (
             f"host {host!r} is not registered; see sycamorecroft hosts list and "
             f"sycamorecroft explain host {host}"
         )
-        raise UnknownNameError(message)
+        raise NotFoundError(message)
     if json:
         print_json(record)
         return
@@ -110,17 +110,17 @@
     settings: SettingsPath = None,
     json: JsonFlag = False,
 ) -> None:
-    """Ask for a move of a host to another pool.
+    """Request the move of a host to another pool.
 
-    The controller drains the host and moves it as the pool's budget allows. The same
-    request again changes nothing; a request for another pool replaces it.
+    The controller drains the host and moves it when the budget of its pool allows.
+    Repeating the request changes nothing; a request for another pool replaces it.
 
     :param host: Name of the host.
     """
-    client = operator_client(settings)
+    client = create_operator_client(settings)
     record = client.call(
         Method.POST,
-        f"{HOSTS_PATH}/{path_part(host)}/move",
+        f"{HOSTS_PATH}/{quote_path_segment(host)}/move",
         MoveRequestRecord,
         body=MoveRequestBody(to),
     )
--- a/src/sycamorecroft/cli/inventory_commands.py
+++ b/src/sycamorecroft/cli/inventory_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the inventory: show, apply."""
+"""Commands that show and replace the inventory of worker hosts."""
 
 from pathlib import Path
 from typing import Annotated
@@ -9,14 +9,14 @@
     Command,
     JsonFlag,
     SettingsPath,
-    operator_client,
+    create_operator_client,
     register_commands,
 )
 from sycamorecroft.cli.operator_client import Method
 from sycamorecroft.cli.operator_messages import (
     INVENTORY_PATH,
     InventoryHostBody,
-    InventoryPublished,
+    InventoryPublishedReply,
     InventoryReply,
     InventoryRequest,
 )
@@ -38,8 +38,10 @@
 
 
 def show_inventory(*, settings: SettingsPath = None, json: JsonFlag = False) -> None:
-    """Show the declared hosts and the version that a change must name."""
-    reply = operator_client(settings).call(Method.GET, INVENTORY_PATH, InventoryReply)
+    """Show the declared hosts and the version to base a change on."""
+    reply = create_operator_client(settings).call(
+        Method.GET, INVENTORY_PATH, InventoryReply
+    )
     if json:
         print_json(reply)
         return
@@ -65,23 +67,24 @@
     hosts: Path,
     *,
     base_version: Annotated[
-        int, Parameter(help="Version that the change is based on, as show tells it.")
+        int, Parameter(help="Version that the change is based on, as printed by show.")
     ],
     settings: SettingsPath = None,
     json: JsonFlag = False,
 ) -> None:
-    """Declare the hosts of a file, and the pool that each new host goes to.
+    """Replace the inventory by the hosts of a file.
 
-    Hosts that are registered already stay in their pool; move them with hosts move.
-    The same file again changes nothing.
+    A new host joins the pool that the file names. Hosts that are already registered
+    stay in their pool; move them with hosts move. Applying the same file again changes
+    nothing.
 
-    :param hosts: File of hosts, such as deployments/ondangwa/hosts.json.
+    :param hosts: Host file, such as deployments/ondangwa/hosts.json.
     """
-    declared = tuple(_declared(load_inventory(hosts)))
-    published = operator_client(settings).call(
+    declared = tuple(_declared_hosts(load_inventory(hosts)))
+    published = create_operator_client(settings).call(
         Method.PUT,
         INVENTORY_PATH,
-        InventoryPublished,
+        InventoryPublishedReply,
         body=InventoryRequest(base_version, declared),
     )
     if json:
@@ -92,7 +95,7 @@
     )
 
 
-def _declared(inventory: HostInventory) -> list[InventoryHostBody]:
+def _declared_hosts(inventory: HostInventory) -> list[InventoryHostBody]:
     size = inventory.worker_size
     return [
         InventoryHostBody(
--- a/src/sycamorecroft/cli/job_commands.py
+++ b/src/sycamorecroft/cli/job_commands.py
@@ -1,4 +1,4 @@
-"""Commands on jobs: submit, show, list, cancel, follow."""
+"""Commands that submit, show, list, cancel and follow jobs."""
 
 from hashlib import sha256
 from typing import Annotated
@@ -11,25 +11,25 @@
     Command,
     JsonFlag,
     SettingsPath,
-    operator_client,
-    path_part,
+    create_operator_client,
+    quote_path_segment,
     register_commands,
 )
 from sycamorecroft.cli.exit_codes import UnsuccessfulError
 from sycamorecroft.cli.operator_client import Method
 from sycamorecroft.cli.operator_messages import (
     JOBS_PATH,
+    JobSizeBody,
     JobsReply,
     JobSubmission,
-    SizeRequest,
 )
 from sycamorecroft.cli.output import json_line, print_json, print_line, print_table
 from sycamorecroft.cli.watching import WaitLimit, watch_until
 from sycamorecroft.configuration.fleet import Urgency
 from sycamorecroft.jobs import JobRecord, JobState
 
-_KEY_DIGITS_COUNT = 32
-_ENDED = (JobState.SUCCEEDED, JobState.FAILED, JobState.CANCELLED)
+_KEY_LENGTH_DIGITS = 32
+_ENDED_STATES = (JobState.SUCCEEDED, JobState.FAILED, JobState.CANCELLED)
 
 
 def register(app: App) -> None:
@@ -57,12 +57,18 @@
 def submit(
     command: str,
     *,
-    service: Annotated[str, Parameter(help="Service on whose pool the job runs.")],
+    service: Annotated[str, Parameter(help="Service whose pool runs the job.")],
     team: Annotated[str, Parameter(help="Team whose quota the job counts against.")],
     urgency: Annotated[Urgency, Parameter(help="Urgency class.")] = Urgency.NORMAL,
-    processors: Annotated[float, Parameter(help="Processors it needs.")] = 1.0,
-    memory_bytes: Annotated[int, Parameter(help="Memory it needs, in bytes.")] = 0,
-    accelerators: Annotated[int, Parameter(help="Accelerators it needs.")] = 0,
+    processors: Annotated[
+        float, Parameter(help="Number of processors that the job needs.")
+    ] = 1.0,
+    memory_bytes: Annotated[
+        int, Parameter(help="Memory that the job needs, in bytes.")
+    ] = 0,
+    accelerators: Annotated[
+        int, Parameter(help="Number of accelerators that the job needs.")
+    ] = 0,
     key: Annotated[
         str | None,
         Parameter(help="Idempotency key; derived from the submission by default."),
@@ -70,22 +76,24 @@
     settings: SettingsPath = None,
     json: JsonFlag = False,
 ) -> None:
-    """Submit a job; it is durable once this command succeeds.
+    """Submit a job; it is stored durably once this command succeeds.
 
-    The same submission again returns the same job; name another --key to run the same
+    Repeating a submission returns the same job; give another --key to run the same
     command once more.
 
     :param command: Command that the worker runs.
     """
-    size = SizeRequest(processors, memory_bytes, accelerators)
+    size = JobSizeBody(processors, memory_bytes, accelerators)
     submission = JobSubmission(service, command, team, urgency, size)
-    derived = sha256(msgspec.json.encode(submission)).hexdigest()[:_KEY_DIGITS_COUNT]
-    record = operator_client(settings).call(
+    derived_key = sha256(msgspec.json.encode(submission)).hexdigest()[
+        :_KEY_LENGTH_DIGITS
+    ]
+    record = create_operator_client(settings).call(
         Method.POST,
         JOBS_PATH,
         JobRecord,
         body=submission,
-        idempotency_key=key or derived,
+        idempotency_key=key or derived_key,
     )
     _print_job(record, json)
     if not json:
@@ -95,11 +103,13 @@
 def show_job(
     job: str, *, settings: SettingsPath = None, json: JsonFlag = False
 ) -> None:
-    """Show a job.
+    """Show all fields of a job.
 
     :param job: Id of the job.
     """
-    record = operator_client(settings).call(Method.GET, _path(job), JobRecord)
+    record = create_operator_client(settings).call(
+        Method.GET, _job_path(job), JobRecord
+    )
     if json:
         print_json(record)
         return
@@ -112,7 +122,7 @@
     account: Annotated[str, Parameter(help="Client account.")],
     service: Annotated[str | None, Parameter(help="Only jobs of this service.")] = None,
     ended: Annotated[
-        bool, Parameter(negative="", help="Add the jobs that have ended.")
+        bool, Parameter(negative="", help="Include jobs that have ended.")
     ] = False,
     settings: SettingsPath = None,
     json: JsonFlag = False,
@@ -124,7 +134,7 @@
     if ended:
         query["ended"] = "yes"
     path = f"{JOBS_PATH}?{urlencode(query)}"
-    reply = operator_client(settings).call(Method.GET, path, JobsReply)
+    reply = create_operator_client(settings).call(Method.GET, path, JobsReply)
     if json:
         print_json(reply)
         return
@@ -147,11 +157,13 @@
 
 
 def cancel(job: str, *, settings: SettingsPath = None, json: JsonFlag = False) -> None:
-    """Ask for the end of a job; one that has ended stays as it is.
+    """Request the cancellation of a job; a job that has ended is not changed.
 
     :param job: Id of the job.
     """
-    record = operator_client(settings).call(Method.DELETE, _path(job), JobRecord)
+    record = create_operator_client(settings).call(
+        Method.DELETE, _job_path(job), JobRecord
+    )
     _print_job(record, json)
 
 
@@ -162,17 +174,17 @@
     settings: SettingsPath = None,
     json: JsonFlag = False,
 ) -> None:
-    """Show each change of a job until it ends.
+    """Print each change of a job until it ends.
 
-    Ending the command doesn't end the job.
+    Interrupting the command does not cancel the job.
 
     :param job: Id of the job.
     """
-    client = operator_client(settings)
+    client = create_operator_client(settings)
     record = watch_until(
-        lambda: client.call(Method.GET, _path(job), JobRecord),
+        lambda: client.call(Method.GET, _job_path(job), JobRecord),
         json_line if json else _describe_job,
-        lambda value: value["state"] in _ENDED,
+        lambda value: value["state"] in _ENDED_STATES,
         limit_s,
     )
     if record["state"] is not JobState.SUCCEEDED:
@@ -182,8 +194,8 @@
         raise UnsuccessfulError(message)
 
 
-def _path(job: str) -> str:
-    return f"{JOBS_PATH}/{path_part(job)}"
+def _job_path(job: str) -> str:
+    return f"{JOBS_PATH}/{quote_path_segment(job)}"
 
 
 def _print_job(record: JobRecord, as_json: bool) -> None:
@@ -195,7 +207,7 @@
     if record["worker"]:
         text += f", attempt {record['attempt']} on {record['worker']}"
     if record["is_cancel_requested"]:
-        text += ", its end is asked for"
+        text += ", cancellation requested"
     if record["reason"]:
         text += f": {record['reason']}"
     return text
--- a/src/sycamorecroft/cli/log_history.py
+++ b/src/sycamorecroft/cli/log_history.py
@@ -1,4 +1,4 @@
-"""What log lines of nodes say of one job."""
+"""Reconstructs the history of one job from the log lines of nodes."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -7,7 +7,7 @@
 
 from sycamorecroft.scheduling.rows import JobState
 
-# Lines that tell of a lost or regained dependency of a host.
+# Events that report a lost or regained dependency of an entry host.
 _DEPENDENCY_EVENTS = frozenset(
     (
         "table_lost",
@@ -21,11 +21,11 @@
         "node_stopping",
     )
 )
-_OWN_FIELDS = frozenset(("event", "host", "level", "timestamp", "job", "task"))
+_COMMON_FIELDS = frozenset(("event", "host", "level", "timestamp", "job", "task"))
 
 
 class LogLine(NamedTuple):
-    """A line of a node's log; ``fields`` are those that only this event has."""
+    """A log line of a node; ``fields`` are those that are specific to its event."""
 
     told_at: datetime
     host: str
@@ -35,7 +35,7 @@
 
 
 class JobHistory(NamedTuple):
-    """Lines of one job, lines that bear on it, and what they add up to."""
+    """Log lines of one job, related lines of its dependencies, and derived findings."""
 
     job_id: str
     lines: tuple[LogLine, ...]
@@ -43,69 +43,79 @@
     findings: tuple[str, ...]
 
 
-def parse_lines(texts: Iterable[str]) -> Iterator[LogLine]:
+def parse_log_lines(texts: Iterable[str]) -> Iterator[LogLine]:
     """
-    :param texts: lines of log files; anything before the JSON object is skipped.
-    :returns: the lines that a node wrote.
+    :param texts: lines of log files; text before the JSON object is skipped.
+    :returns: the lines written by a node; all others are skipped.
     """
     for text in texts:
-        begin = text.find("{")
-        if begin < 0:
+        json_start = text.find("{")
+        if json_start < 0:
             continue
         try:
-            fields = json.loads(text[begin:])
+            fields = json.loads(text[json_start:])
             told_at = datetime.fromisoformat(fields["timestamp"])
             line = LogLine(
                 told_at,
                 str(fields.get("host", "")),
                 str(fields["event"]),
                 str(fields.get("task") or fields.get("job") or ""),
-                {k: v for k, v in fields.items() if k not in _OWN_FIELDS},
+                {k: v for k, v in fields.items() if k not in _COMMON_FIELDS},
             )
         except (ValueError, KeyError, TypeError, AttributeError):
-            # Other programs may write to the same file.
+            # The log file may contain lines of other programs.
             continue
         yield line
 
 
-def explain_job_by_lines(job_id: str, lines: Iterable[LogLine]) -> JobHistory:
+def build_job_history(job_id: str, lines: Iterable[LogLine]) -> JobHistory:
     """
-    :param lines: lines of all hosts, in any order.
+    :param lines: log lines of all entry hosts, in any order.
+    :returns: the history of ``job_id``, with lines in order of time.
     """
-    ordered = sorted(lines, key=lambda line: line.told_at)
-    own = tuple(line for line in ordered if line.subject.partition(".")[0] == job_id)
-    if not own:
-        return JobHistory(job_id, (), (), ("no line tells of this job",))
-    related = tuple(_related(own, ordered))
-    return JobHistory(job_id, own, related, tuple(_findings(own, related)))
-
-
-def _related(own: tuple[LogLine, ...], ordered: list[LogLine]) -> Iterator[LogLine]:
-    """Lines between the first and the last one of the job on what it depended on."""
-    begin, end = own[0].told_at, own[-1].told_at
-    hosts = {line.host for line in own}
-    workers = {line.fields.get("worker") for line in own} - {None}
-    for line in ordered:
-        if line.subject or not begin <= line.told_at <= end:
+    sorted_lines = sorted(lines, key=lambda line: line.told_at)
+    job_lines = tuple(
+        line for line in sorted_lines if line.subject.partition(".")[0] == job_id
+    )
+    if not job_lines:
+        return JobHistory(job_id, (), (), ("no log line mentions this job",))
+    related = tuple(_related_lines(job_lines, sorted_lines))
+    return JobHistory(job_id, job_lines, related, tuple(_findings(job_lines, related)))
+
+
+def _related_lines(
+    job_lines: tuple[LogLine, ...], sorted_lines: list[LogLine]
+) -> Iterator[LogLine]:
+    """Yields lines on the job's dependencies between its first and its last line.
+
+    Dependencies are the entry hosts and the workers that the job's own lines name.
+    """
+    first_at, last_at = job_lines[0].told_at, job_lines[-1].told_at
+    hosts = {line.host for line in job_lines}
+    workers = {line.fields.get("worker") for line in job_lines} - {None}
+    for line in sorted_lines:
+        if line.subject or not first_at <= line.told_at <= last_at:
             continue
         is_dependency = line.event in _DEPENDENCY_EVENTS and line.host in hosts
         if is_dependency or line.fields.get("worker") in workers:
             yield line
 
 
-def _findings(own: tuple[LogLine, ...], related: tuple[LogLine, ...]) -> Iterator[str]:
-    yield from _submission_findings(own, related)
-    states = [line for line in own if line.event == "job_ended"]
-    if states and states[-1].fields.get("state") == JobState.FAILED:
-        yield from _failure_findings(own)
-    yield from _time_findings(own)
+def _findings(
+    job_lines: tuple[LogLine, ...], related: tuple[LogLine, ...]
+) -> Iterator[str]:
+    yield from _submission_findings(job_lines, related)
+    endings = [line for line in job_lines if line.event == "job_ended"]
+    if endings and endings[-1].fields.get("state") == JobState.FAILED:
+        yield from _failure_findings(job_lines)
+    yield from _duration_findings(job_lines)
 
 
 def _submission_findings(
-    own: tuple[LogLine, ...], related: tuple[LogLine, ...]
+    job_lines: tuple[LogLine, ...], related: tuple[LogLine, ...]
 ) -> Iterator[str]:
-    outcomes = [line for line in own if line.event == "job_submitted"]
-    for line in outcomes:
+    submissions = [line for line in job_lines if line.event == "job_submitted"]
+    for line in submissions:
         if line.fields.get("outcome") not in ("not_stored", "unknown"):
             continue
         yield (
@@ -114,36 +124,38 @@
         )
     for line in related:
         if line.event == "table_lost":
-            yield f"{line.host} lost the store: {line.fields.get('reason')}"
+            yield (
+                f"{line.host} lost contact with the store: {line.fields.get('reason')}"
+            )
             return
 
 
-def _failure_findings(own: tuple[LogLine, ...]) -> Iterator[str]:
-    failed = [line for line in own if line.fields.get("end") == "failed"]
-    workers = sorted({str(line.fields.get("worker")) for line in failed})
-    yield f"{len(failed)} runs failed, on {', '.join(workers)}"
+def _failure_findings(job_lines: tuple[LogLine, ...]) -> Iterator[str]:
+    failed_runs = [line for line in job_lines if line.fields.get("end") == "failed"]
+    workers = sorted({str(line.fields.get("worker")) for line in failed_runs})
+    yield f"{len(failed_runs)} runs failed, on {', '.join(workers)}"
 
 
-def _time_findings(own: tuple[LogLine, ...]) -> Iterator[str]:
-    """Tells how long each part of the way took, the longest one last."""
-    marks = [
-        ("accepted", _first(own, "job_submitted")),
-        ("taken in", _first(own, "job_taken_in")),
-        ("first started", _first(own, "task_started")),
-        ("ended", _first(own, "job_ended")),
+def _duration_findings(job_lines: tuple[LogLine, ...]) -> Iterator[str]:
+    """Yields the duration of each phase of the job, the longest one last."""
+    milestones = [
+        ("accepted", _first_line(job_lines, "job_submitted")),
+        ("queued", _first_line(job_lines, "job_taken_in")),
+        ("first started", _first_line(job_lines, "task_started")),
+        ("ended", _first_line(job_lines, "job_ended")),
     ]
-    known = [(name, line.told_at) for name, line in marks if line is not None]
-    parts = [
-        ((later - earlier).total_seconds(), f"from {begin} to {end}")
-        for (begin, earlier), (end, later) in zip(known, known[1:], strict=False)
+    reached = [(name, line.told_at) for name, line in milestones if line is not None]
+    phases = [
+        ((later - earlier).total_seconds(), f"from {start} to {end}")
+        for (start, earlier), (end, later) in zip(reached, reached[1:], strict=False)
     ]
-    for duration_s, part in sorted(parts):
-        yield f"{part}: {duration_s:.3f} s"
-    waits = [line for line in own if line.event == "task_started"]
-    if waits:
-        longest = max(waits, key=lambda line: line.fields.get("waited_s") or 0)
+    for duration_s, phase in sorted(phases):
+        yield f"{phase}: {duration_s:.3f} s"
+    starts = [line for line in job_lines if line.event == "task_started"]
+    if starts:
+        longest = max(starts, key=lambda line: line.fields.get("waited_s") or 0)
         yield f"{longest.subject} waited longest: {longest.fields.get('waited_s')} s"
 
 
-def _first(own: tuple[LogLine, ...], event: str) -> LogLine | None:
-    return next((line for line in own if line.event == event), None)
+def _first_line(job_lines: tuple[LogLine, ...], event: str) -> LogLine | None:
+    return next((line for line in job_lines if line.event == event), None)
--- a/src/sycamorecroft/cli/main.py
+++ b/src/sycamorecroft/cli/main.py
@@ -31,7 +31,7 @@
 
 def create_app() -> App:
     """
-    :returns: the application with all commands.
+    :returns: the command-line application with all command groups registered.
     """
     app = App(
         name="sycamorecroft",
@@ -47,9 +47,9 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """
-    :param arguments: command line without the program, ``None`` for that of the
+    :param arguments: arguments without the program name, ``None`` for those of the
         process.
-    :returns: exit code, see :class:`~sycamorecroft.cli.exit_codes.ExitCode`.
+    :returns: the exit code, see :class:`~sycamorecroft.cli.exit_codes.ExitCode`.
     """
     tokens = list(sys.argv[1:] if arguments is None else arguments)
     try:
--- a/src/sycamorecroft/cli/maintenance_commands.py
+++ b/src/sycamorecroft/cli/maintenance_commands.py
@@ -1,4 +1,4 @@
-"""Commands on maintenance waves."""
+"""Commands that declare, control and explain maintenance waves."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -13,8 +13,8 @@
     Command,
     JsonFlag,
     SettingsPath,
-    operator_client,
-    path_part,
+    create_operator_client,
+    quote_path_segment,
     register_commands,
 )
 from sycamorecroft.cli.exit_codes import UnsuccessfulError
@@ -33,8 +33,10 @@
 from sycamorecroft.maintenance import SelectionKind, WaveState
 from sycamorecroft.maintenance.records import WaveRecord
 
-Names = Annotated[tuple[str, ...], Parameter(help="Names to maintain.", negative="")]
-_KEY_DIGITS_COUNT = 32
+NamesOption = Annotated[
+    tuple[str, ...], Parameter(help="Names to declare maintenance for.", negative="")
+]
+_KEY_LENGTH_DIGITS = 32
 
 
 def register(app: App) -> None:
@@ -64,9 +66,9 @@
 
 def declare(
     *,
-    rack: Names = (),
-    pool: Names = (),
-    host: Names = (),
+    rack: NamesOption = (),
+    pool: NamesOption = (),
+    host: NamesOption = (),
     deadline: Annotated[
         datetime, Parameter(help="End of the wave, with an offset from UTC.")
     ],
@@ -79,16 +81,18 @@
 ) -> None:
     """Declare the maintenance of racks, pools or hosts.
 
-    The controller drains, reboots and returns each host within the pools' budgets.
-    The same declaration again returns the same wave; name another --key to maintain
+    The controller drains, reboots and returns each host within the budgets of the
+    pools. Repeating a declaration returns the same wave; give another --key to maintain
     the same hosts again with the same deadline.
     """
-    kind, names = _selection(rack, pool, host)
+    kind, names = _parse_selection(rack, pool, host)
     if deadline.tzinfo is None:
         message = f"deadline {deadline.isoformat()} has no offset from UTC; add one"
         raise RequestError(message)
-    request = WaveRequest(key or _key(kind, names, deadline), kind, names, deadline)
-    reply = operator_client(settings).call(
+    request = WaveRequest(
+        key or _derive_key(kind, names, deadline), kind, names, deadline
+    )
+    reply = create_operator_client(settings).call(
         Method.POST, MAINTENANCE_PATH, WaveReply, body=request
     )
     _print_wave(reply.wave, json)
@@ -96,10 +100,10 @@
         print_line(f"to follow it: sycamorecroft maintenance watch {reply.wave['id']}")
 
 
-def _selection(
+def _parse_selection(
     racks: Sequence[str], pools: Sequence[str], hosts: Sequence[str]
 ) -> tuple[SelectionKind, tuple[str, ...]]:
-    named = [
+    selections = [
         (kind, tuple(sorted(set(names))))
         for kind, names in (
             (SelectionKind.RACK, racks),
@@ -108,21 +112,24 @@
         )
         if names
     ]
-    if len(named) != 1:
+    if len(selections) != 1:
         raise RequestError(
-            f"{len(named)} kinds of names given; name one: --rack, --pool or --host"
+            f"{len(selections)} kinds of names given; give exactly one of --rack, "
+            "--pool or --host"
         )
-    return named[0]
+    return selections[0]
 
 
-def _key(kind: SelectionKind, names: Sequence[str], deadline: datetime) -> str:
+def _derive_key(kind: SelectionKind, names: Sequence[str], deadline: datetime) -> str:
     content = msgspec.json.encode((kind, names, deadline.timestamp()))
-    return sha256(content).hexdigest()[:_KEY_DIGITS_COUNT]
+    return sha256(content).hexdigest()[:_KEY_LENGTH_DIGITS]
 
 
 def list_waves(*, settings: SettingsPath = None, json: JsonFlag = False) -> None:
-    """List all maintenance waves, those with the earliest deadline first."""
-    waves = operator_client(settings).call(Method.GET, MAINTENANCE_PATH, WavesReply)
+    """List all maintenance waves, earliest deadline first."""
+    waves = create_operator_client(settings).call(
+        Method.GET, MAINTENANCE_PATH, WavesReply
+    )
     if json:
         print_json(waves)
         return
@@ -133,7 +140,7 @@
             (
                 wave["id"],
                 wave["state"].value,
-                _selected(wave),
+                _describe_selection(wave),
                 len(wave["hosts"]),
                 wave["declared_at"],
                 wave["deadline"],
@@ -146,11 +153,11 @@
 def show_wave(
     wave: str, *, settings: SettingsPath = None, json: JsonFlag = False
 ) -> None:
-    """Show a wave and how far it is for each host.
+    """Show a wave and its progress for each host.
 
     :param wave: Id of the wave.
     """
-    progress = _progress(operator_client(settings), wave)
+    progress = _read_progress(create_operator_client(settings), wave)
     if json:
         print_json(progress)
         return
@@ -173,15 +180,15 @@
     settings: SettingsPath = None,
     json: JsonFlag = False,
 ) -> None:
-    """Show the progress of a wave until it ends.
+    """Print the progress of a wave until it ends.
 
-    Ending the command doesn't end the wave.
+    Interrupting the command does not cancel the wave.
 
     :param wave: Id of the wave.
     """
-    client = operator_client(settings)
+    client = create_operator_client(settings)
     progress = watch_until(
-        lambda: _progress(client, wave),
+        lambda: _read_progress(client, wave),
         json_line if json else _describe_progress,
         lambda value: value.wave["state"] in (WaveState.FINISHED, WaveState.CANCELLED),
         limit_s,
@@ -191,45 +198,45 @@
 
 
 def pause(wave: str, *, settings: SettingsPath = None, json: JsonFlag = False) -> None:
-    """Start no new drain of a wave; drains already started finish.
+    """Pause a wave: start no new drains; drains already started finish.
 
     :param wave: Id of the wave.
     """
-    _change(wave, "pause", settings, json)
+    _change_state(wave, "pause", settings, json)
 
 
 def resume(wave: str, *, settings: SettingsPath = None, json: JsonFlag = False) -> None:
-    """Let a paused wave go on.
+    """Resume a paused wave.
 
     :param wave: Id of the wave.
     """
-    _change(wave, "resume", settings, json)
+    _change_state(wave, "resume", settings, json)
 
 
 def cancel(wave: str, *, settings: SettingsPath = None, json: JsonFlag = False) -> None:
-    """End a wave; drains already started finish.
+    """Cancel a wave; drains already started finish.
 
     :param wave: Id of the wave.
     """
-    _change(wave, "cancel", settings, json)
+    _change_state(wave, "cancel", settings, json)
 
 
 def explain(
     wave: str, *, settings: SettingsPath = None, json: JsonFlag = False
 ) -> None:
-    """Tell for each host of a wave what it waits for.
+    """Show what each host of a wave waits for.
 
     :param wave: Id of the wave.
     """
-    client = operator_client(settings)
-    path = f"{MAINTENANCE_PATH}/{path_part(wave)}/explain"
+    client = create_operator_client(settings)
+    path = f"{MAINTENANCE_PATH}/{quote_path_segment(wave)}/explain"
     replies = [
         item.reply
         for item in client.call_each(path, WaveExplanationReply)
         if item.reply is not None
     ]
     if not replies:
-        # Reports the failure as for any other command.
+        # No daemon answered: an ordinary call raises the error that fits the failure.
         replies = [client.call(Method.GET, path, WaveExplanationReply)]
     explanation = max(replies, key=lambda reply: reply.is_by_controller)
     if json:
@@ -242,19 +249,19 @@
     )
     if not explanation.is_by_controller:
         print_line(
-            "the controller of maintenance doesn't answer: demand and how long ago a "
-            "host failed are not known"
+            "the maintenance controller doesn't answer: demand and the time since a "
+            "host failed are unknown"
         )
 
 
-def _change(wave: str, action: str, settings: SettingsPath, json: bool) -> None:
-    path = f"{MAINTENANCE_PATH}/{path_part(wave)}/{action}"
-    reply = operator_client(settings).call(Method.POST, path, WaveReply)
+def _change_state(wave: str, action: str, settings: SettingsPath, json: bool) -> None:
+    path = f"{MAINTENANCE_PATH}/{quote_path_segment(wave)}/{action}"
+    reply = create_operator_client(settings).call(Method.POST, path, WaveReply)
     _print_wave(reply.wave, json)
 
 
-def _progress(client: OperatorClient, wave: str) -> WaveProgressReply:
-    path = f"{MAINTENANCE_PATH}/{path_part(wave)}"
+def _read_progress(client: OperatorClient, wave: str) -> WaveProgressReply:
+    path = f"{MAINTENANCE_PATH}/{quote_path_segment(wave)}"
     return client.call(Method.GET, path, WaveProgressReply)
 
 
@@ -263,8 +270,9 @@
         print_json(wave)
         return
     print_line(
-        f"wave {wave['id']} of {_selected(wave)} ({len(wave['hosts'])} hosts) is "
-        f"{wave['state'].value}, deadline {wave['deadline']}"
+        f"wave {wave['id']} of {_describe_selection(wave)} "
+        f"({len(wave['hosts'])} hosts) is {wave['state'].value}, "
+        f"deadline {wave['deadline']}"
     )
 
 
@@ -281,5 +289,5 @@
     )
 
 
-def _selected(wave: WaveRecord) -> str:
+def _describe_selection(wave: WaveRecord) -> str:
     return f"{wave['selection_kind'].value} {', '.join(wave['selection_names'])}"
--- a/src/sycamorecroft/cli/operator_client.py
+++ b/src/sycamorecroft/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""Client of the operators' HTTP interface of the daemons."""
+"""Client of the daemons' HTTP interface for operators."""
 
 from concurrent.futures import ThreadPoolExecutor
 from enum import StrEnum
@@ -14,7 +14,7 @@
     TimeoutError,
 )
 
-from sycamorecroft.cli.exit_codes import OperatorRefusedError
+from sycamorecroft.cli.exit_codes import OperatorTokenRefusedError
 from sycamorecroft.cli.operator_messages import (
     CONFIGURATION_PATH,
     HISTORY_PATH,
@@ -47,7 +47,7 @@
 
 
 class Method(StrEnum):
-    """HTTP methods of the interface."""
+    """HTTP methods of the operator interface."""
 
     GET = "GET"
     PUT = "PUT"
@@ -56,7 +56,7 @@
 
 
 class DaemonReply(NamedTuple):
-    """Reply of one daemon, or why there is none."""
+    """Reply of one daemon; without one, ``problem`` describes the failure."""
 
     url: str
     reply: Any | None
@@ -66,10 +66,11 @@
 class OperatorClient:
     """Calls the daemons in the order of the settings.
 
-    The next daemon is tried when a connection could not be established, and for reads
-    after every failure of transport. A change that was sent is never sent again.
+    The next daemon is tried if no connection could be established; a read is also
+    retried there after any other transport error. A change that was sent once is never
+    sent again, because its outcome is unknown.
 
-    :param settings: URLs of the daemons and the token.
+    :param settings: URLs of the daemons, operator token and timeout.
     """
 
     def __init__(self, settings: ToolSettings) -> None:
@@ -80,7 +81,7 @@
 
     def configuration(self) -> FleetConfiguration | None:
         """
-        :returns: the version published last, ``None`` if there is none.
+        :returns: the configuration published last, ``None`` if there is none.
         :raises SycamorecroftError: as :meth:`call`.
         """
         reply = self.call(Method.GET, CONFIGURATION_PATH, ConfigurationReply)
@@ -90,14 +91,14 @@
 
     def history(self) -> tuple[PublishedVersion, ...]:
         """
-        :returns: the last published versions, the latest first.
+        :returns: the most recently published versions, latest first.
         :raises SycamorecroftError: as :meth:`call`.
         """
         return self.call(Method.GET, HISTORY_PATH, HistoryReply).versions
 
     def hosts(self) -> HostsReply:
         """
-        :returns: the host records.
+        :returns: the host records and the version of the host view.
         :raises SycamorecroftError: as :meth:`call`.
         """
         return self.call(Method.GET, HOSTS_PATH, HostsReply)
@@ -132,22 +133,23 @@
         self,
         method: Method,
         path: str,
-        kind: type[Reply],
+        reply_type: type[Reply],
         *,
         body: msgspec.Struct | None = None,
         idempotency_key: str | None = None,
     ) -> Reply:
         """Calls the first daemon that can be reached.
 
-        :param kind: type of the reply.
+        :param reply_type: type that the response body is decoded to.
         :param body: JSON body of the request.
-        :param idempotency_key: key of a call that creates something.
-        :raises ConfigurationError: if the daemon refused the request as not valid.
-        :raises ConfigurationConflictError: if another operator's change came first.
-        :raises StoreUnavailableError: if nothing was changed, since no daemon or no
-            store could be reached.
+        :param idempotency_key: key of a call that creates an object.
+        :returns: the decoded response body.
+        :raises ConfigurationError: if the daemon rejected the request as invalid.
+        :raises ConfigurationConflictError: if another operator's change was made first.
+        :raises StoreUnavailableError: if no daemon or no store could be reached;
+            nothing was changed.
         :raises OutcomeUnknownError: if a change may have been made.
-        :raises OperatorRefusedError: if the token was refused.
+        :raises OperatorTokenRefusedError: if the daemon rejected the token.
         """
         headers = self._headers()
         if idempotency_key is not None:
@@ -163,29 +165,29 @@
                     redirect=False,
                 )
             except HTTPError as error:
-                _require_harmless(method, path, url, error)
+                _raise_if_outcome_unknown(method, path, url, error)
                 failures.append(f"{url} ({error})")
                 continue
-            return _decode(method, url, response, kind)
+            return _decode(method, url, response, reply_type)
         message = (
             f"no daemon could be reached: {'; '.join(failures)}; nothing was changed; "
             "check daemon_urls in the tool's settings"
         )
         raise StoreUnavailableError(message)
 
-    def call_each(self, path: str, kind: type[Reply]) -> tuple[DaemonReply, ...]:
-        """Reads from every daemon in the settings at once.
+    def call_each(self, path: str, reply_type: type[Reply]) -> tuple[DaemonReply, ...]:
+        """Reads from all daemons in the settings concurrently.
 
-        :param kind: type of the reply.
-        :returns: one reply or problem for each daemon, in the order of the settings.
+        :param reply_type: type that the response bodies are decoded to.
+        :returns: one reply or problem per daemon, in the order of the settings.
         """
         urls = self._settings.daemon_urls
         with ThreadPoolExecutor(len(urls)) as executor:
             return tuple(
-                executor.map(lambda url: self._read_one(url, path, kind), urls)
+                executor.map(lambda url: self._read_one(url, path, reply_type), urls)
             )
 
-    def _read_one(self, url: str, path: str, kind: type[Any]) -> DaemonReply:
+    def _read_one(self, url: str, path: str, reply_type: type[Any]) -> DaemonReply:
         try:
             response = self._http.request(
                 str(Method.GET),
@@ -193,13 +195,13 @@
                 headers=self._headers(),
                 redirect=False,
             )
-            return DaemonReply(url, _decode(Method.GET, url, response, kind), "")
+            return DaemonReply(url, _decode(Method.GET, url, response, reply_type), "")
         except HTTPError as error:
-            return DaemonReply(url, None, self._transport_problem(error))
+            return DaemonReply(url, None, self._describe_transport_error(error))
         except SycamorecroftError as error:
             return DaemonReply(url, None, str(error))
 
-    def _transport_problem(self, error: HTTPError) -> str:
+    def _describe_transport_error(self, error: HTTPError) -> str:
         if isinstance(error, NewConnectionError):
             return "no connection, its process or host is down"
         if isinstance(error, TimeoutError):
@@ -213,12 +215,14 @@
         return headers
 
 
-def _require_harmless(method: Method, path: str, url: str, error: HTTPError) -> None:
+def _raise_if_outcome_unknown(
+    method: Method, path: str, url: str, error: HTTPError
+) -> None:
     is_unsent = isinstance(error, NewConnectionError | ConnectTimeoutError)
     if is_unsent or method is Method.GET:
         return
     message = (
-        f"{method} {path} was sent to {url} and no response arrived ({error}): the "
+        f"{method} {path} was sent to {url} but no response arrived ({error}): the "
         "change may have been made; repeat the same command, it makes the change at "
         "most once and reports the result"
     )
@@ -226,24 +230,24 @@
 
 
 def _decode(
-    method: Method, url: str, response: urllib3.BaseHTTPResponse, kind: type[Any]
+    method: Method, url: str, response: urllib3.BaseHTTPResponse, reply_type: type[Any]
 ) -> Any:
     try:
         if response.status < 400:
-            return msgspec.json.decode(response.data, type=kind)
+            return msgspec.json.decode(response.data, type=reply_type)
         failure = msgspec.json.decode(response.data, type=FailureReply)
     except msgspec.MsgspecError as cause:
         message = (
-            f"{url} answered {response.status} with a body that is not understood "
-            f"({cause}); check that the URL is that of a daemon of this release"
+            f"{url} answered {response.status} with a malformed body ({cause}); check "
+            "that the URL is that of a daemon of this release"
         )
         if method is Method.GET:
             raise StoreUnavailableError(message) from cause
         raise OutcomeUnknownError("response_malformed", message) from cause
-    raise _error_of(method, response.status, failure)
+    raise _create_error(method, response.status, failure)
 
 
-def _with_advice(method: Method, message: str) -> str:
+def _add_retry_advice(method: Method, message: str) -> str:
     if method is Method.GET:
         return message
     return (
@@ -252,14 +256,16 @@
     )
 
 
-def _error_of(method: Method, status: int, failure: FailureReply) -> SycamorecroftError:
+def _create_error(
+    method: Method, status: int, failure: FailureReply
+) -> SycamorecroftError:
     match status:
         case HTTPStatus.CONFLICT:
             return ConfigurationConflictError(failure.message)
         case HTTPStatus.UNAUTHORIZED | HTTPStatus.FORBIDDEN:
-            return OperatorRefusedError(failure.message)
+            return OperatorTokenRefusedError(failure.message)
         case HTTPStatus.SERVICE_UNAVAILABLE:
-            return StoreUnavailableError(_with_advice(method, failure.message))
+            return StoreUnavailableError(_add_retry_advice(method, failure.message))
     if status < HTTPStatus.INTERNAL_SERVER_ERROR:
         return ConfigurationError(failure.message)
     if method is Method.GET:
--- a/src/sycamorecroft/cli/operator_messages.py
+++ b/src/sycamorecroft/cli/operator_messages.py
@@ -1,4 +1,4 @@
-"""JSON bodies of the daemons' operator interface, as the tool sends and reads them."""
+"""JSON bodies of the operator interface, as the tool encodes and decodes them."""
 
 from collections.abc import Mapping
 from datetime import datetime
@@ -25,9 +25,10 @@
 
 
 class ConfigurationReply(msgspec.Struct, frozen=True):
-    """The head; version 0 with configuration null while none has been published.
+    """The latest published version.
 
-    ``in_force_version`` is that of the daemon that answers, 0 for none.
+    Before the first one is published, ``version`` is 0 and ``configuration`` is null.
+    ``in_force_version`` is that of the answering daemon, 0 for none.
     """
 
     version: int
@@ -52,7 +53,7 @@
 
 
 class HistoryReply(msgspec.Struct, frozen=True):
-    """Published versions, the latest first."""
+    """Published versions, latest first."""
 
     versions: tuple[PublishedVersion, ...]
 
@@ -71,8 +72,8 @@
     message: str
 
 
-class EntryReply(msgspec.Struct, frozen=True):
-    """What gossip tells one daemon of an entry host."""
+class EntryHostReply(msgspec.Struct, frozen=True):
+    """State of an entry host as one daemon received it by gossip."""
 
     entry: str
     is_reached: bool
@@ -84,7 +85,7 @@
 
 
 class PoolReply(msgspec.Struct, frozen=True):
-    """Counts of a pool's hosts."""
+    """Host counts of a pool by state, and its availability budget."""
 
     pool: str
     is_spare: bool
@@ -97,7 +98,7 @@
 
 
 class QueueReply(msgspec.Struct, frozen=True):
-    """Figures of a queue, told by its owner."""
+    """Waiting requests, slots and ejected hosts of a queue, reported by its owner."""
 
     waiting_counts: Mapping[Urgency, int]
     parked_count: int
@@ -109,14 +110,17 @@
 
 
 class StoreReply(msgspec.Struct, frozen=True):
-    """A daemon's contact with the table service."""
+    """Breaker state and age of a daemon's last contact with the table service."""
 
     state: str
     contact_age_s: float | None
 
 
 class FailureCountReply(msgspec.Struct, frozen=True):
-    """Requests of the last minute that were not run or whose outcome is unknown."""
+    """Number of failed requests in the last minute by service, outcome and reason.
+
+    A failed request was not run, or its outcome is unknown.
+    """
 
     service: str | None
     outcome: str
@@ -131,7 +135,7 @@
     in_force_version: int
     staged_version: int
     view_version: int
-    entries: tuple[EntryReply, ...]
+    entries: tuple[EntryHostReply, ...]
     live_entries: tuple[str, ...]
     expected_entries_count: int
     pool_counts: tuple[PoolReply, ...]
@@ -144,19 +148,19 @@
 
 
 class MovesReply(msgspec.Struct, frozen=True):
-    """Target pool by host of the moves that operators asked for."""
+    """Target pool by host of the moves that operators requested."""
 
     moves: Mapping[str, str]
 
 
 class MoveRequestBody(msgspec.Struct, frozen=True):
-    """The pool that a host should be moved to."""
+    """Target pool of a requested host move."""
 
     target_pool: str
 
 
 class InventoryHostBody(msgspec.Struct, frozen=True):
-    """A worker host and the pool it should be in."""
+    """A declared worker host and its pool."""
 
     host: str
     address: str
@@ -168,21 +172,21 @@
 
 
 class InventoryReply(msgspec.Struct, frozen=True):
-    """The declared hosts, version 0 for none."""
+    """The declared hosts; ``version`` is 0 if none have been declared."""
 
     version: int
     hosts: tuple[InventoryHostBody, ...]
 
 
 class InventoryRequest(msgspec.Struct, frozen=True):
-    """All worker hosts, to replace those of ``base_version``."""
+    """All worker hosts, replacing those of ``base_version``."""
 
     base_version: int
     hosts: tuple[InventoryHostBody, ...]
 
 
-class InventoryPublished(msgspec.Struct, frozen=True):
-    """The inventory that is in the store now."""
+class InventoryPublishedReply(msgspec.Struct, frozen=True):
+    """Version and size of the inventory in the store."""
 
     version: int
     hosts_count: int
@@ -201,7 +205,7 @@
 
 
 class WaveProgressReply(msgspec.Struct, frozen=True):
-    """A wave, the hosts for which it has ended and the states of its hosts."""
+    """A wave, the outcomes by finished host and the states of all its hosts."""
 
     wave: WaveRecord
     outcomes: Mapping[str, str]
@@ -219,7 +223,7 @@
 
 
 class HostExplanationReply(msgspec.Struct, frozen=True):
-    """What a host of a wave waits for."""
+    """The condition that a host of a wave waits for."""
 
     host: str
     reason: str
@@ -227,21 +231,24 @@
 
 
 class WaveExplanationReply(msgspec.Struct, frozen=True):
-    """Explanations of a wave's hosts; the controller knows more than other daemons."""
+    """Explanations of a wave's hosts.
+
+    Only the controller knows the demand and the time since a host failed.
+    """
 
     is_by_controller: bool
     hosts: tuple[HostExplanationReply, ...]
 
 
 class JobsReply(msgspec.Struct, frozen=True):
-    """Jobs of an account; ``jobs`` may be shorter than ``jobs_count``."""
+    """Jobs of a client account; ``jobs`` may list fewer than ``jobs_count``."""
 
     jobs: tuple[JobRecord, ...]
     jobs_count: int
 
 
-class SizeRequest(msgspec.Struct, frozen=True):
-    """Declared size of a job."""
+class JobSizeBody(msgspec.Struct, frozen=True):
+    """Declared resource demand of a job."""
 
     processors_count: float
     memory_bytes: int
@@ -255,11 +262,11 @@
     command: str
     team: str
     urgency: Urgency
-    size: SizeRequest
+    size: JobSizeBody
 
 
 class FindingReply(msgspec.Struct, frozen=True):
-    """Result of one step of a decision."""
+    """Result of one decision step; ``holds_up`` marks what the subject waits for."""
 
     step: str
     holds_up: bool
@@ -267,14 +274,14 @@
 
 
 class HostFindingsReply(msgspec.Struct, frozen=True):
-    """Findings on a host in the order of the decisions."""
+    """Findings on a host, in order of the decision steps."""
 
     host: str
     findings: tuple[FindingReply, ...]
 
 
 class JobFindingsReply(msgspec.Struct, frozen=True):
-    """Findings on a job in the order of the decisions."""
+    """Findings on a job, in order of the decision steps."""
 
     job_id: str
     state: str
@@ -282,7 +289,7 @@
 
 
 class StepReply(msgspec.Struct, frozen=True):
-    """One step of the handling of a request."""
+    """One step in the processing of a request."""
 
     step: str
     result: str
@@ -307,7 +314,7 @@
 
 
 class RequestReply(msgspec.Struct, frozen=True):
-    """The record that an entry host has of a request, ``null`` if it has none."""
+    """An entry host's record of a request, ``None`` if it has none."""
 
     entry: str | None
     record: RequestRecordReply | None
--- a/src/sycamorecroft/cli/status_commands.py
+++ b/src/sycamorecroft/cli/status_commands.py
@@ -1,4 +1,4 @@
-"""Command that shows the state of the fleet."""
+"""Command that shows the state of the fleet and its problems."""
 
 from datetime import UTC, datetime
 
@@ -8,10 +8,10 @@
     Command,
     JsonFlag,
     SettingsPath,
-    operator_client,
+    create_operator_client,
     register_commands,
 )
-from sycamorecroft.cli.fleet_status import FleetStatus, OwnedQueue, combine
+from sycamorecroft.cli.fleet_status import FleetStatus, OwnedQueue, combine_statuses
 from sycamorecroft.cli.operator_client import Method, OperatorClient
 from sycamorecroft.cli.operator_messages import (
     MAINTENANCE_PATH,
@@ -24,7 +24,7 @@
 from sycamorecroft.errors import StoreUnavailableError
 from sycamorecroft.maintenance.records import WaveRecord
 
-_NEVER_MS = 2**32 - 1
+_NO_CONTACT_AGE_MS = 2**32 - 1
 _MS_PER_S = 1000.0
 
 
@@ -34,20 +34,20 @@
 
 
 def status(*, settings: SettingsPath = None, json: JsonFlag = False) -> None:
-    """Show the fleet, and in a closing list what is wrong and what to do next."""
-    client = operator_client(settings)
+    """Show the state of the fleet, its problems and the next step for each."""
+    client = create_operator_client(settings)
     replies = client.call_each(STATUS_PATH, StatusReply)
     if all(reply.reply is None for reply in replies):
-        # Reports the failure as for any other command.
+        # No daemon answered: an ordinary call raises the error that fits the failure.
         client.call(Method.GET, STATUS_PATH, StatusReply)
-    fleet = combine(replies, _waves(client), datetime.now(UTC))
+    fleet = combine_statuses(replies, _read_waves(client), datetime.now(UTC))
     if json:
         print_json(fleet)
         return
     _print_fleet(fleet)
 
 
-def _waves(client: OperatorClient) -> tuple[WaveRecord, ...] | None:
+def _read_waves(client: OperatorClient) -> tuple[WaveRecord, ...] | None:
     try:
         return client.call(Method.GET, MAINTENANCE_PATH, WavesReply).waves
     except StoreUnavailableError:
@@ -62,7 +62,7 @@
     )
     _print_pools(fleet)
     _print_queues(fleet.queues)
-    _print_entries(fleet)
+    _print_entry_hosts(fleet)
     if fleet.waves:
         print_table(
             "Maintenance",
@@ -112,18 +112,18 @@
 def _print_queues(queues: tuple[OwnedQueue, ...]) -> None:
     print_table(
         "Queues",
-        ("service", "owner", "slots in use", "limit", *_WAITING_TITLES, "ejected"),
+        ("service", "owner", "slots in use", "limit", *_WAITING_COLUMNS, "ejected"),
         (_queue_row(queue) for queue in queues),
     )
 
 
-_WAITING_TITLES = tuple(f"{urgency} waiting" for urgency in Urgency)
+_WAITING_COLUMNS = tuple(f"{urgency} waiting" for urgency in Urgency)
 
 
 def _queue_row(queue: OwnedQueue) -> tuple[object, ...]:
     figures = queue.figures
     if figures is None:
-        return (queue.service, "unknown", *[""] * (len(_WAITING_TITLES) + 3))
+        return (queue.service, "unknown", *[""] * (len(_WAITING_COLUMNS) + 3))
     waiting = (figures.waiting_counts.get(urgency, 0) for urgency in Urgency)
     return (
         queue.service,
@@ -135,10 +135,10 @@
     )
 
 
-def _print_entries(fleet: FleetStatus) -> None:
+def _print_entry_hosts(fleet: FleetStatus) -> None:
     leases: dict[str, list[str]] = {}
-    for lease, entry in sorted(fleet.leases.items()):
-        leases.setdefault(entry, []).append(lease)
+    for lease, entry_host in sorted(fleet.leases.items()):
+        leases.setdefault(entry_host, []).append(lease)
     print_table(
         "Entry hosts",
         (
@@ -152,18 +152,20 @@
         ),
         (
             (
-                entry.entry,
-                "yes" if entry.is_reached else "no",
-                entry.staged_version,
-                entry.in_force_version,
-                entry.view_version,
-                _age(entry.store_contact_age_ms) if entry.is_reached else "unknown",
-                ", ".join(leases.get(entry.entry, ())),
+                item.entry,
+                "yes" if item.is_reached else "no",
+                item.staged_version,
+                item.in_force_version,
+                item.view_version,
+                _age_text(item.store_contact_age_ms) if item.is_reached else "unknown",
+                ", ".join(leases.get(item.entry, ())),
             )
-            for entry in fleet.entries
+            for item in fleet.entries
         ),
     )
 
 
-def _age(age_ms: int) -> str:
-    return "never" if age_ms == _NEVER_MS else f"{age_ms / _MS_PER_S:.1f} s ago"
+def _age_text(age_ms: int) -> str:
+    return (
+        "never" if age_ms == _NO_CONTACT_AGE_MS else f"{age_ms / _MS_PER_S:.1f} s ago"
+    )
--- a/src/sycamorecroft/cli/tests/test_configuration_commands.py
+++ b/src/sycamorecroft/cli/tests/test_configuration_commands.py
@@ -1,4 +1,4 @@
-"""The tool against the daemon's operator interface over a table service."""
+"""Tests of the configuration commands against a daemon's operator interface."""
 
 import json
 import threading
@@ -23,7 +23,7 @@
 TOKEN = "0123456789abcdef"
 
 
-def _view():
+def _pool_view():
     inventory = load_inventory(SITE / "hosts.json")
     return PoolView(
         1,
@@ -47,13 +47,16 @@
 
 
 class OperatorServer:
-    """Serves operators; ``loses_response`` cuts responses off after the change."""
+    """Serves the operator interface.
+
+    ``loses_response`` truncates responses after the request was processed.
+    """
 
     def __init__(self):
         self.store = ConfigurationStore(MemoryTables(), ManualClock())
         self.loses_response = False
         self.changes_count = 0
-        state = OperatorState(lambda: NO_CONFIGURATION, _view, *[None] * 6)
+        state = OperatorState(lambda: NO_CONFIGURATION, _pool_view, *[None] * 6)
         stores = OperatorStores(self.store, *[None] * 5)
         routes = operator_routes(state, stores)
         self._application = Application(routes, None, None, TOKEN)
@@ -82,27 +85,27 @@
 
 @pytest.fixture
 def use_daemons(tmp_path, monkeypatch):
-    def write(*urls, token=TOKEN):
+    def write_settings(*urls, token=TOKEN):
         path = tmp_path / "tool.jsonc"
         path.write_text(
             json.dumps({"daemon_urls": urls, "operator_token": token}), "utf-8"
         )
         monkeypatch.setenv("SYCAMORECROFT_SETTINGS", str(path))
 
-    return write
+    return write_settings
 
 
 def _apply(base_version, *options):
     return main(["apply", *FILES, "--base-version", str(base_version), *options])
 
 
-# Guards against a tool whose commands don't fit together.
 def test_diff_apply_history_and_rollback(server, use_daemons, capsys, tmp_path):
+    """Guards against commands that disagree about published versions."""
     use_daemons("http://127.0.0.1:1", server.url)
     assert main(["diff", *FILES]) == ExitCode.SUCCESS
-    shown = capsys.readouterr().out
-    assert "hosts that must move: 0" in shown
-    assert "name --base-version 0" in shown
+    output = capsys.readouterr().out
+    assert "hosts that must move: 0" in output
+    assert "name --base-version 0" in output
     assert _apply(0, "--author", "asha", "--json") == ExitCode.SUCCESS
     assert json.loads(capsys.readouterr().out)["version"] == 1
     changed = tmp_path / "changed.jsonc"
@@ -119,8 +122,10 @@
     assert versions[0]["rolled_back_to"] == 1
 
 
-# Guards against an operator who overwrites a change without notice.
-def test_conflict_names_the_winner(server, use_daemons, capsys, tmp_path):
+def test_conflict_names_author_of_published_version(
+    server, use_daemons, capsys, tmp_path
+):
+    """Guards against silently overwriting another operator's change."""
     use_daemons(server.url)
     other = tmp_path / "other.jsonc"
     text = Path(FILES[1]).read_text(encoding="utf-8")
@@ -131,10 +136,11 @@
     assert "'beatrice' published it at" in capsys.readouterr().err
 
 
-# Guards against a change sent twice, or reported as failed, after a lost response.
-def test_lost_response_says_that_the_command_can_be_repeated(
-    server, use_daemons, capsys
-):
+def test_lost_response_advises_to_repeat_the_command(server, use_daemons, capsys):
+    """Guards against sending a change twice or reporting it as failed.
+
+    Both could follow when the response to a change is lost.
+    """
     use_daemons(server.url, server.url)
     server.loses_response = True
     assert _apply(0, "--author", "asha") == ExitCode.OUTCOME_UNKNOWN
@@ -146,7 +152,8 @@
     assert server.store.head_version() == 1
 
 
-def test_failures_have_their_exit_codes(server, use_daemons, capsys, tmp_path):
+def test_failures_map_to_exit_codes(server, use_daemons, capsys, tmp_path):
+    """Guards against failures that scripts can't tell apart by the exit code."""
     use_daemons("http://127.0.0.1:1")
     assert main(["history"]) == ExitCode.UNAVAILABLE
     assert _apply(0) == ExitCode.UNAVAILABLE
@@ -161,6 +168,7 @@
     assert main(["validate", *FILES, "--hosts", str(SITE / "hosts.json")]) == 0
 
 
-def test_settings_must_be_named(monkeypatch):
+def test_missing_settings_are_an_error(monkeypatch):
+    """Guards against a command that runs without a settings file."""
     monkeypatch.delenv("SYCAMORECROFT_SETTINGS", raising=False)
     assert main(["history"]) == ExitCode.INVALID
--- a/src/sycamorecroft/cli/tests/test_explain_log.py
+++ b/src/sycamorecroft/cli/tests/test_explain_log.py
@@ -1,9 +1,9 @@
-"""Tests of the way from a job's id to its cause, by log lines alone."""
+"""Tests that a job's history is reconstructed from log lines alone."""
 
 import json
 
 from sycamorecroft.cli.exit_codes import ExitCode
-from sycamorecroft.cli.log_history import explain_job_by_lines, parse_lines
+from sycamorecroft.cli.log_history import build_job_history, parse_log_lines
 from sycamorecroft.cli.main import main
 
 JOB = "42cb9610a0dfe807"
@@ -14,7 +14,7 @@
     return json.dumps(fields | {"event": event, "host": host, "timestamp": timestamp})
 
 
-LATE = (
+LATE_JOB_LINES = (
     _line(4.0, "run_ended", task=f"{JOB}.0.0.0", worker="w1", end="done"),
     _line(1.0, "job_submitted", host="h2", job=JOB, outcome="stored"),
     _line(1.1, "job_taken_in", job=JOB),
@@ -31,12 +31,12 @@
 
 
 def _explain(lines):
-    return explain_job_by_lines(JOB, parse_lines(lines))
+    return build_job_history(JOB, parse_log_lines(lines))
 
 
-def test_accepted_and_late():
-    """Guards against a late job whose wait can't be told from its run."""
-    history = _explain(LATE)
+def test_late_job_has_duration_of_each_phase():
+    """Guards against a late job whose waiting and run times can't be distinguished."""
+    history = _explain(LATE_JOB_LINES)
     assert [line.event for line in history.lines] == [
         "job_submitted",
         "job_taken_in",
@@ -48,12 +48,12 @@
         "worker_quarantined",
         "service_claimed",
     ]
-    assert "from taken in to first started: 2.400 s" in history.findings
+    assert "from queued to first started: 2.400 s" in history.findings
     assert history.findings[-1] == f"{JOB}.0.0.0 waited longest: 2.4 s"
 
 
-def test_refused_since_the_store_was_away():
-    """Guards against a refusal that doesn't tell which dependency was lost."""
+def test_refusal_names_unavailable_store():
+    """Guards against a refused submission whose lost dependency is not reported."""
     history = _explain(
         (
             _line(1.0, "job_submitted", job=JOB, outcome="not_stored", duration_s=0.0),
@@ -63,11 +63,11 @@
         )
     )
     assert "h1 answered not_stored after 0.0 s" in history.findings
-    assert "h1 lost the store: reset" in history.findings
+    assert "h1 lost contact with the store: reset" in history.findings
 
 
-def test_shown_as_failed():
-    """Guards against a failed job that doesn't tell where its runs failed."""
+def test_failed_job_names_workers():
+    """Guards against a failed job whose history omits the workers of failed runs."""
     task = f"{JOB}.0.0.0"
     history = _explain(
         (
@@ -79,25 +79,27 @@
     assert "2 runs failed, on w1, w2" in history.findings
 
 
-def test_command_reads_files_of_several_hosts(tmp_path, capsys):
-    """Guards against a command that needs the lines in one sorted file."""
+def test_command_reads_files_of_several_entry_hosts(tmp_path, capsys):
+    """Guards against a command that requires one file sorted by time."""
     files = [tmp_path / "a.log", tmp_path / "b.log"]
-    files[0].write_text("\n".join(f"  3.1 frontend-1 {line}" for line in LATE[:3]))
-    files[1].write_text("\n".join(LATE[3:]))
+    files[0].write_text(
+        "\n".join(f"  3.1 frontend-1 {line}" for line in LATE_JOB_LINES[:3])
+    )
+    files[1].write_text("\n".join(LATE_JOB_LINES[3:]))
     names = [str(path) for path in files]
     assert main(["explain", "log", JOB, *names]) == ExitCode.SUCCESS
-    printed = capsys.readouterr().out
-    assert "from taken in to first started: 2.400 s" in printed
-    assert "waited_s=2.4" in printed
+    output = capsys.readouterr().out
+    assert "from queued to first started: 2.400 s" in output
+    assert "waited_s=2.4" in output
     assert main(["explain", "log", JOB, *names, "--json"]) == ExitCode.SUCCESS
     assert json.loads(capsys.readouterr().out)["job_id"] == JOB
 
 
-def test_unknown_job_and_missing_file_are_told(tmp_path, capsys):
-    """Guards against an empty answer that looks like a job without problems."""
+def test_unknown_job_and_missing_file_are_errors(tmp_path, capsys):
+    """Guards against an empty report that looks like a job without problems."""
     path = tmp_path / "a.log"
-    path.write_text("\n".join(LATE))
+    path.write_text("\n".join(LATE_JOB_LINES))
     assert main(["explain", "log", "0" * 16, str(path)]) == ExitCode.NOT_FOUND
     assert "pass the files of all hosts" in capsys.readouterr().err
-    missing = str(tmp_path / "none.log")
-    assert main(["explain", "log", JOB, missing]) == ExitCode.NOT_FOUND
+    missing_file = str(tmp_path / "none.log")
+    assert main(["explain", "log", JOB, missing_file]) == ExitCode.NOT_FOUND
--- a/src/sycamorecroft/cli/tests/test_fleet_commands.py
+++ b/src/sycamorecroft/cli/tests/test_fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands on the fleet against the operator interface over tables in memory."""
+"""Tests of the fleet commands against daemons whose tables are in memory."""
 
 import json
 import threading
@@ -42,18 +42,25 @@
 SITE = ROOT / "deployments" / "ondangwa"
 
 
-class SilentTelemetry:
+class NullTelemetry:
+    """Accepts and discards all measurements."""
+
     def __getattr__(self, name):
         return lambda *values: None
 
 
 class RefusingExecutor:
+    """Refuses every request because of its expected wait."""
+
     def execute(self, request, service):
         return Execution(Outcome.NOT_RUN, "expected_wait", None, 0, False)
 
 
 class Daemon:
-    """One daemon's HTTP interface; ``loses_response`` cuts responses off."""
+    """HTTP interface of one daemon.
+
+    ``loses_response`` truncates responses after the request was processed.
+    """
 
     def __init__(self, fleet, entry, configuration):
         tables, clock = fleet.connect(), fleet.clock
@@ -64,7 +71,7 @@
         ]
         names = tuple(fleet.entries)
         membership = MembershipView(entry, names, names[:2], len(names), tuple(digests))
-        # Batches of submissions wait in real time.
+        # The job store waits for batches of submissions in real time.
         self.jobs = JobStore(tables, SystemClock())
         self.controller = fleet.maintenance(f"{entry}/1", tables)
         state = OperatorState(
@@ -91,7 +98,7 @@
             EntryLimit(5),
             lambda: configuration,
             clock,
-            RequestReporter(SilentTelemetry(), self.records, clock),
+            RequestReporter(NullTelemetry(), self.records, clock),
         )
         jobs = JobHandlers(self.jobs, lambda: configuration, SystemClock())
         routes = (*callers.routes(), *jobs.routes(), *operator_routes(state, stores))
@@ -109,7 +116,7 @@
 
 
 class Tool:
-    """Runs commands against the daemons."""
+    """Runs commands of the tool against the daemons."""
 
     def __init__(self, fleet, daemons, capsys):
         self.fleet = fleet
@@ -118,7 +125,7 @@
 
     def run(self, *arguments, code=ExitCode.SUCCESS):
         """
-        :returns: standard output, or standard error of a command that fails.
+        :returns: standard output, or standard error if a failure is expected.
         """
         self._capsys.readouterr()
         assert main(arguments) == code, self._capsys.readouterr()
@@ -152,8 +159,8 @@
         daemon.jobs.stop()
 
 
-def test_lost_response_of_a_declaration_can_be_repeated(tool):
-    """Guards against two waves for one declaration whose response was lost."""
+def test_declaration_can_be_repeated_after_lost_response(tool):
+    """Guards against a second wave when a declaration is repeated."""
     arguments = ("maintenance", "declare", "--pool", "rating", "--deadline", DEADLINE)
     tool.daemons[0].loses_response = True
     error = tool.run(*arguments, code=ExitCode.OUTCOME_UNKNOWN)
@@ -167,16 +174,16 @@
 
 
 def test_wave_is_watched_paused_and_explained(tool):
-    """Guards against a wave that waits without telling which entry host blocks it."""
+    """Guards against a waiting wave that doesn't name the entry host that blocks it."""
     wave = tool.run_json(
         "maintenance", "declare", "--pool", "rating", "--deadline", DEADLINE
     )
     assert "paused" in tool.run("maintenance", "pause", wave["id"])
-    explained = tool.run_json("maintenance", "explain", wave["id"])["hosts"]
-    assert {item["reason"] for item in explained} == {"wave_paused"}
+    explanations = tool.run_json("maintenance", "explain", wave["id"])["hosts"]
+    assert {item["reason"] for item in explanations} == {"wave_paused"}
     tool.run("maintenance", "resume", wave["id"])
-    frozen = next(iter(tool.fleet.entries.values()))
-    frozen.is_frozen = True
+    frozen_entry = next(iter(tool.fleet.entries.values()))
+    frozen_entry.is_frozen = True
     controller = tool.daemons[0].controller
     for _ in range(12):
         controller.step(tool.fleet.clock.now())
@@ -188,9 +195,9 @@
     assert list(dict.fromkeys(steps)) == [
         "inventory", "pool", "state", "move", "budget", "maintenance", "entry hosts",
     ]  # fmt: skip
-    assert findings[-1]["holds_up"] and frozen.name in findings[-1]["detail"]
+    assert findings[-1]["holds_up"] and frozen_entry.name in findings[-1]["detail"]
     watch = ("maintenance", "watch", wave["id"], "--limit-s", "0")
-    assert "it goes on" in tool.run(*watch, code=ExitCode.UNSUCCESSFUL)
+    assert "it continues" in tool.run(*watch, code=ExitCode.UNSUCCESSFUL)
     tool.run("maintenance", "cancel", wave["id"])
     tool.run(*watch, code=ExitCode.UNSUCCESSFUL)
     tool.run("maintenance", "resume", wave["id"], code=ExitCode.INVALID)
@@ -199,8 +206,8 @@
 def test_refused_request_is_explained_by_the_daemon_that_refused_it(tool):
     """Guards against refusals that only the daemon's log explains."""
     url = f"{tool.daemons[1].url}/v1/services/rating/requests"
-    answer = urllib3.request("POST", url, body=b"reading")
-    request_id = answer.headers["Sycamorecroft-Request-Id"]
+    response = urllib3.request("POST", url, body=b"reading")
+    request_id = response.headers["Sycamorecroft-Request-Id"]
     reply = tool.run_json("explain", "request", request_id)
     assert reply["entry"] == list(tool.fleet.entries)[1]
     assert reply["record"]["reason"] == "expected_wait"
@@ -210,20 +217,20 @@
     assert any("1 requests not-run" in problem for problem in problems)
 
 
-def test_status_lists_what_is_wrong(tool):
-    """Guards against a status that shows figures but not that they are wrong."""
-    shown = tool.run("status")
-    for part in (
+def test_status_lists_problems(tool):
+    """Guards against a status that shows abnormal figures without naming a problem."""
+    output = tool.run("status")
+    for problem in (
         "daemon at http://127.0.0.1:1 doesn't answer",
         f"entry host {list(tool.fleet.entries)[2]} is not reached",
         "pool rating has 4 of 8 configured hosts",
         "no daemon that answers owns the queue of service hotline",
     ):
-        assert part in shown
+        assert problem in output
 
 
 def test_hosts_moves_and_inventory(tool, tmp_path):
-    """Guards against a lost update of the inventory and moves of unknown hosts."""
+    """Guards against lost updates of the inventory and moves to unknown pools."""
     host = tool.run_json("hosts", "list", "--pool", "rating")["hosts"][0]["host"]
     assert tool.run_json("hosts", "show", host)["pool"] == "rating"
     tool.run("hosts", "show", "nowhere-1", code=ExitCode.NOT_FOUND)
@@ -244,7 +251,7 @@
 
 
 def test_jobs_are_submitted_once_followed_and_explained(tool):
-    """Guards against a job submitted twice, and one that waits without a reason."""
+    """Guards against duplicate jobs and against waiting jobs without a reason."""
     submit = ("jobs", "submit", "rate", "--service", "rating", "--team", "inspectors")
     job = tool.run_json(*submit)
     assert tool.run_json(*submit)["job_id"] == job["job_id"]
@@ -255,7 +262,7 @@
     assert [finding["step"] for finding in findings] == [
         "accepted", "state", "attempts", "placement", "quota", "cancellation",
     ]  # fmt: skip
-    assert "its end is asked for" in tool.run("jobs", "cancel", job["job_id"])
+    assert "cancellation requested" in tool.run("jobs", "cancel", job["job_id"])
     follow = ("jobs", "follow", job["job_id"], "--limit-s", "0")
     tool.run(*follow, code=ExitCode.UNSUCCESSFUL)
     tool.run("explain", "job", "none", code=ExitCode.INVALID)
@@ -267,8 +274,8 @@
      "maintenance declare"],
 )  # fmt: skip
 def test_help_has_an_example_and_the_exit_codes(command, capsys):
-    """Guards against commands that can't be learnt from the tool alone."""
+    """Guards against a command whose help lacks an example or the exit codes."""
     main([*command.split(), "--help"])
-    shown = capsys.readouterr().out
-    assert f"Example: sycamorecroft {command}" in shown
-    assert "6 outcome unknown" in " ".join(shown.split())
+    output = capsys.readouterr().out
+    assert f"Example: sycamorecroft {command}" in output
+    assert "6 outcome unknown" in " ".join(output.split())
--- a/src/sycamorecroft/cli/watching.py
+++ b/src/sycamorecroft/cli/watching.py
@@ -1,4 +1,4 @@
-"""Watches something on the daemons until it ends."""
+"""Polls the state of an operation on the daemons until it ends."""
 
 import sys
 import time
@@ -27,31 +27,36 @@
     is_ended: Callable[[Value], bool],
     limit_s: float | None,
 ) -> Value:
-    """Reads again and again, and prints each description that differs from the last.
+    """Polls a value and prints its description whenever that changes.
 
-    A read that fails is repeated, since a store or daemon that is down comes back.
+    A read that fails because a daemon or the store is unavailable is retried, since
+    such outages are temporary.
 
-    :returns: the value that ended it.
-    :raises UnsuccessfulError: when the time is over first.
+    :param read: reads the current value.
+    :param describe: returns the line to print for a value.
+    :param is_ended: whether a value is final.
+    :param limit_s: time limit in seconds, ``None`` for no limit.
+    :returns: the final value.
+    :raises UnsuccessfulError: if no final value was read within ``limit_s``.
     """
     started_s = time.monotonic()
-    shown = ""
+    printed = ""
     while True:
         try:
             value = read()
         except StoreUnavailableError as error:
-            sys.stderr.write(f"no answer, trying again: {error}\n")
+            sys.stderr.write(f"no answer, retrying: {error}\n")
         else:
             text = describe(value)
-            if text != shown:
+            if text != printed:
                 print_line(text)
-                shown = text
+                printed = text
             if is_ended(value):
                 return value
         if limit_s is not None and time.monotonic() - started_s >= limit_s:
             message = (
-                f"not ended after {limit_s:g} s; it goes on, and the same command "
-                "watches it again"
+                f"not ended after {limit_s:g} s; it continues, repeat the same command "
+                "to watch it again"
             )
             raise UnsuccessfulError(message)
         time.sleep(POLL_INTERVAL_S)
