--- a/src/sycamorecroft/jobs/__init__.py
+++ b/src/sycamorecroft/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Durable jobs: submission, placement, and their execution as tasks."""
+"""Durable jobs: submission, placement and execution as tasks of the platform."""
 
 from sycamorecroft.jobs.controller import JobController
 from sycamorecroft.jobs.records import JobRecord, JobRequest, JobState
--- a/src/sycamorecroft/jobs/tasks.py
+++ b/src/sycamorecroft/jobs/attempts.py
@@ -1,4 +1,4 @@
-"""Live attempts of a pool as seen and steered by its controller."""
+"""Observes and controls the tasks that execute a pool's job attempts."""
 
 from collections.abc import Collection, Iterable, Mapping
 from contextlib import suppress
@@ -11,8 +11,8 @@
 )
 from sycamorecroft.invariants import check_job_single_attempt
 from sycamorecroft.jobs.records import JobRecord, task_id_of, task_size
-from sycamorecroft.jobs.transitions import LIVE_TASK_STATES, is_over
-from sycamorecroft.jobs.usage import largest
+from sycamorecroft.jobs.transitions import LIVE_TASK_STATES, exceeds_size
+from sycamorecroft.jobs.usage import elementwise_max
 from sycamorecroft.store.interfaces import (
     TaskService,
     TaskSize,
@@ -25,7 +25,7 @@
 
 
 class StartOutcome(StrEnum):
-    """What is known of the start of a task."""
+    """What is known about a requested start of a task."""
 
     STARTED = "started"
     REFUSED = "refused"
@@ -34,17 +34,17 @@
     NOT_SENT = "not_sent"
 
 
-class _Progress:
-    """What the controller remembers of an attempt; a new controller starts afresh."""
+class _AttemptProgress:
+    """In-memory progress of an attempt, lost when another controller takes over."""
 
     def __init__(self) -> None:
         self.peak = NO_USAGE
-        self.renew_s = 0.0
-        self.checkpoint_asked_s: float | None = None
+        self.next_renewal_s = 0.0
+        self.checkpoint_requested_s: float | None = None
 
 
-class LiveTasks:
-    """Calls to the task service on behalf of one lease epoch. Not thread-safe."""
+class AttemptManager:
+    """Calls the task service on behalf of the lease holder. Not thread-safe."""
 
     def __init__(
         self,
@@ -62,53 +62,55 @@
         self._checkpoint_timeout_s = checkpoint_timeout_s
         self._throttle_ratio = throttle_ratio
         self._observe_interval_s = observe_interval_s
-        self._observe_s: dict[str, float] = {}
-        self._progress: dict[str, _Progress] = {}
+        self._next_listing_s: dict[str, float] = {}
+        self._progress: dict[str, _AttemptProgress] = {}
         self._unknown_starts: set[str] = set()
 
     def reset(self) -> None:
-        """Forgets what an earlier epoch knew."""
+        """Discards everything observed under an earlier lease epoch."""
         self._progress.clear()
         self._unknown_starts.clear()
-        self._observe_s.clear()
+        self._next_listing_s.clear()
 
-    def keep_only(self, records: Iterable[JobRecord]) -> None:
-        """Forgets all attempts but these."""
-        kept = {task_id_of(record) for record in records}
-        self._unknown_starts &= kept
-        for task_id in self._progress.keys() - kept:
+    def retain(self, records: Iterable[JobRecord]) -> None:
+        """Discards the progress of all attempts except these."""
+        retained = {task_id_of(record) for record in records}
+        self._unknown_starts &= retained
+        for task_id in self._progress.keys() - retained:
             del self._progress[task_id]
 
     def observe(
-        self, busy: Iterable[str], urgent: Collection[str], now_s: float
+        self, busy_workers: Iterable[str], always_listed: Collection[str], now_s: float
     ) -> Mapping[str, TaskStatus]:
-        """Lists the tasks of workers that are due.
+        """Lists the tasks of the workers whose listing is due.
 
-        :param busy: workers with an attempt that may be running.
-        :param urgent: workers that are due in each step.
-        :returns: tasks by id; those of workers not due or without answer are absent.
+        :param busy_workers: workers with an attempt that may be running.
+        :param always_listed: workers whose tasks are listed in each step.
+        :param now_s: monotonic time.
+        :returns: task statuses by task id, without those of workers that were not due
+            or didn't respond.
         :raises InvariantError: if a job has several live attempts (I9).
         """
-        found: dict[str, TaskStatus] = {}
-        due_s: dict[str, float] = {}
-        for worker in sorted(busy):
-            due_s[worker] = self._observe_s.get(worker, now_s)
-            if worker not in urgent and now_s < due_s[worker]:
+        statuses: dict[str, TaskStatus] = {}
+        next_listing_s: dict[str, float] = {}
+        for worker in sorted(busy_workers):
+            next_listing_s[worker] = self._next_listing_s.get(worker, now_s)
+            if worker not in always_listed and now_s < next_listing_s[worker]:
                 continue
             try:
-                listed = self._tasks.list_tasks(worker)
+                worker_statuses = self._tasks.list_tasks(worker)
             except PlatformError:
                 continue
-            due_s[worker] = now_s + self._observe_interval_s
-            found.update((status.task_id, status) for status in listed)
-        self._observe_s = due_s
-        _check_single_attempts(found.values())
-        return found
+            next_listing_s[worker] = now_s + self._observe_interval_s
+            statuses.update((status.task_id, status) for status in worker_statuses)
+        self._next_listing_s = next_listing_s
+        _check_single_attempts(statuses.values())
+        return statuses
 
     def start(self, record: JobRecord, epoch: int) -> StartOutcome:
-        """Starts the job's last attempt; repeating it has no further effect.
+        """Starts the task of the job's latest attempt. Idempotent.
 
-        :raises NotLeaseHolderError: when a higher epoch has been seen.
+        :raises NotLeaseHolderError: when the platform knows a higher lease epoch.
         """
         task_id = task_id_of(record)
         assert record["worker"] is not None
@@ -139,33 +141,33 @@
     def renew_due(self, records: Iterable[JobRecord], epoch: int, now_s: float) -> None:
         """Renews leases that have used half of their term.
 
-        :raises NotLeaseHolderError: when a higher epoch has been seen.
+        :raises NotLeaseHolderError: when the platform knows a higher lease epoch.
         """
         for record in records:
             progress = self._progress_of(record)
-            if now_s < progress.renew_s:
+            if now_s < progress.next_renewal_s:
                 continue
             task_id = task_id_of(record)
             try:
                 self._tasks.renew(task_id, epoch=epoch, lease_s=self._lease_s)
             except PlatformError:
                 continue
-            progress.renew_s = now_s + self._lease_s / 2
+            progress.next_renewal_s = now_s + self._lease_s / 2
 
-    def note_usage(self, record: JobRecord, status: TaskStatus) -> TaskSize:
+    def update_peak(self, record: JobRecord, status: TaskStatus) -> TaskSize:
         """
-        :returns: the largest usage of the job in any attempt that is known of.
+        :returns: the largest usage of the job in all attempts observed so far.
         """
         progress = self._progress_of(record)
-        progress.peak = largest(progress.peak, status.usage)
+        progress.peak = elementwise_max(progress.peak, status.usage)
         if record["peak"] is not None:
-            progress.peak = largest(progress.peak, task_size(record["peak"]))
+            progress.peak = elementwise_max(progress.peak, task_size(record["peak"]))
         return progress.peak
 
     def stop(self, record: JobRecord, epoch: int) -> None:
-        """Asks for the end of the attempt; its status tells when it has ended.
+        """Requests the end of the attempt; its status shows when it has ended.
 
-        :raises NotLeaseHolderError: when a higher epoch has been seen.
+        :raises NotLeaseHolderError: when the platform knows a higher lease epoch.
         """
         with suppress(PlatformError):
             self._tasks.stop(task_id_of(record), epoch=epoch)
@@ -173,41 +175,43 @@
     def checkpoint_then_stop(
         self, record: JobRecord, status: TaskStatus, epoch: int, now_s: float
     ) -> None:
-        """Moves one step on: asks for a checkpoint, or stops once there is one.
+        """Requests a checkpoint, or stops the task once the checkpoint is written.
 
-        :raises NotLeaseHolderError: when a higher epoch has been seen.
+        The task is also stopped if the checkpoint isn't written before its time-out.
+
+        :raises NotLeaseHolderError: when the platform knows a higher lease epoch.
         """
         progress = self._progress_of(record)
-        if progress.checkpoint_asked_s is None:
+        if progress.checkpoint_requested_s is None:
             with suppress(PlatformError):
                 self._tasks.checkpoint(status.task_id, epoch=epoch)
-                progress.checkpoint_asked_s = now_s
+                progress.checkpoint_requested_s = now_s
             return
-        waited_s = now_s - progress.checkpoint_asked_s
+        waited_s = now_s - progress.checkpoint_requested_s
         is_written = status.checkpoint_key not in (None, record["checkpoint_key"])
         if is_written or waited_s >= self._checkpoint_timeout_s:
             self.stop(record, epoch)
 
-    def limit_size(
+    def enforce_size(
         self, record: JobRecord, status: TaskStatus, epoch: int, now_s: float
     ) -> None:
-        """Throttles a task that is over its size, then has it restarted.
+        """Throttles a task that exceeds its size, then checkpoints and stops it.
 
-        :raises NotLeaseHolderError: when a higher epoch has been seen.
+        :raises NotLeaseHolderError: when the platform knows a higher lease epoch.
         """
         progress = self._progress_of(record)
         if status.state is TaskState.THROTTLED:
             self.checkpoint_then_stop(record, status, epoch, now_s)
             return
         assert record["granted"] is not None
-        if is_over(status.usage, task_size(record["granted"])):
-            progress.peak = largest(progress.peak, status.usage)
+        if exceeds_size(status.usage, task_size(record["granted"])):
+            progress.peak = elementwise_max(progress.peak, status.usage)
             with suppress(PlatformError):
                 ratio = self._throttle_ratio
                 self._tasks.throttle(status.task_id, epoch=epoch, ratio=ratio)
 
-    def _progress_of(self, record: JobRecord) -> _Progress:
-        return self._progress.setdefault(task_id_of(record), _Progress())
+    def _progress_of(self, record: JobRecord) -> _AttemptProgress:
+        return self._progress.setdefault(task_id_of(record), _AttemptProgress())
 
 
 def _check_single_attempts(statuses: Iterable[TaskStatus]) -> None:
--- a/src/sycamorecroft/jobs/commit.py
+++ b/src/sycamorecroft/jobs/commit.py
@@ -1,4 +1,4 @@
-"""Commits of a controller's changes, several rows in each transaction."""
+"""Commits a controller's changes to job rows, several rows per transaction."""
 
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 
 class Change(NamedTuple):
-    """Next value of a row, decided on ``base``."""
+    """New value of a row, based on the version of the row in ``base``."""
 
     base: JobRow
     record: JobRecord
@@ -25,13 +25,13 @@
     @property
     def job_id(self) -> str:
         """
-        :returns: key of the row.
+        :returns: id of the job, which is the key of its row.
         """
         return self.base.record["job_id"]
 
 
 class JobCommitter:
-    """Writes changes on the condition that the lease and each row are unchanged."""
+    """Writes changes, on condition that the lease and each row are unchanged."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         transactions_max_count: int,
     ) -> None:
         """
-        :param refresh: brings the view up to date after a conflict.
+        :param refresh: reads new row versions into the view; called after a conflict.
         """
         self._tables = tables
         self._view = view
@@ -54,33 +54,34 @@
         self._transactions_count = transactions_max_count
 
     def commit(self, changes: Sequence[Change], epoch: int) -> tuple[Change, ...]:
-        """Commits changes in order, as far as one step's transactions reach.
+        """Commits changes in order, up to the limit of transactions per step.
 
-        A change whose row was written by another (a cancellation) is dropped, and the
-        next step decides on it anew.
+        A change is dropped if another process has written its row since, such as a
+        cancellation; the next step decides on the new version.
 
         :returns: the changes that were committed.
         :raises NotLeaseHolderError: when the lease is no longer held with ``epoch``.
-        :raises StoreUnavailableError: when the rest is known not to be written.
-        :raises StoreOutcomeUnknownError: when the answer was lost; the next refresh
-            of the view shows what was written.
+        :raises StoreUnavailableError: when the remaining changes are known not to be
+            written.
+        :raises StoreOutcomeUnknownError: when the response was lost; the next
+            refresh of the view shows what was written.
         """
-        left = list(changes)
+        pending = list(changes)
         committed: list[Change] = []
         for _ in range(self._transactions_count):
-            if not left:
+            if not pending:
                 break
-            batch = left[: self._rows_count]
+            batch = pending[: self._rows_count]
             try:
                 version = self._transact(batch, epoch)
             except StoreConflictError:
                 self._refresh()
-                left = self._without_changed(left, epoch)
+                pending = self._drop_stale(pending, epoch)
                 continue
             for change in batch:
-                self._take_over(change, version)
+                self._apply_to_view(change, version)
             committed += batch
-            left = left[len(batch) :]
+            pending = pending[len(batch) :]
         return tuple(committed)
 
     def _transact(self, batch: Sequence[Change], epoch: int) -> int:
@@ -93,9 +94,10 @@
             puts.extend(job_puts(change.record))
         return self._tables.transact(checks, puts, purpose=StorePurpose.JOBS)
 
-    def _without_changed(self, changes: list[Change], epoch: int) -> list[Change]:
+    def _drop_stale(self, changes: list[Change], epoch: int) -> list[Change]:
         """
-        :raises NotLeaseHolderError: when it was the lease that changed.
+        :returns: the changes whose rows are still at the version they are based on.
+        :raises NotLeaseHolderError: when no row changed, since then the lease did.
         """
         current = [change for change in changes if self._is_current(change)]
         if len(current) == len(changes) and not self._lease.confirm():
@@ -106,7 +108,7 @@
         row = self._view.get(change.job_id)
         return row is not None and row.version == change.base.version
 
-    def _take_over(self, change: Change, version: int) -> None:
+    def _apply_to_view(self, change: Change, version: int) -> None:
         if change.record["state"] in ENDED_STATES:
             self._view.remove(change.job_id)
         else:
--- a/src/sycamorecroft/jobs/explanation.py
+++ b/src/sycamorecroft/jobs/explanation.py
@@ -1,4 +1,7 @@
-"""Explains where a job is and what it waits for, by the order of decisions. Pure."""
+"""Explains the state of a job and what it waits for, in the order of decisions.
+
+Pure functions of the job's record and of the facts that its placement depends on.
+"""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -15,7 +18,7 @@
 
 
 class JobFinding(NamedTuple):
-    """Result of one step of a decision. ``holds_up`` marks what is waited for."""
+    """Result of one decision step; ``holds_up`` is true if the job waits for it."""
 
     step: str
     holds_up: bool
@@ -23,7 +26,7 @@
 
 
 class JobFacts(NamedTuple):
-    """What the placement of a job depends on; ``jobs`` are those of its account."""
+    """Inputs of a job's placement; ``jobs`` are the jobs of its account."""
 
     configuration: FleetConfiguration | None
     view: PoolView
@@ -37,7 +40,8 @@
     """
     accepted = (
         f"at {record['submitted_at']} for service {record['service']}, team "
-        f"{record['team']}, {record['urgency'].value}, {_shown(record['declared'])}"
+        f"{record['team']}, {record['urgency'].value}, "
+        f"{_format_size(record['declared'])}"
     )
     return (
         JobFinding("accepted", False, accepted),
@@ -60,12 +64,12 @@
         return JobFinding("attempts", False, "none yet")
     detail = f"{record['attempt']} made"
     if record["state"] in LIVE_STATES:
-        granted = _shown(record["granted"])
-        detail += f"; the last may be running on {record['worker']} with {granted}"
+        granted = _format_size(record["granted"])
+        detail += f"; the latest may be running on {record['worker']} with {granted}"
     if record["failed_workers"]:
         detail += f"; failed on {', '.join(record['failed_workers'])}"
     if record["required"] is not None:
-        detail += f"; outgrew its size, needs {_shown(record['required'])}"
+        detail += f"; exceeded its size, needs {_format_size(record['required'])}"
     return JobFinding("attempts", False, detail)
 
 
@@ -73,10 +77,12 @@
     if record["state"] != JobState.QUEUED:
         return ()
     if facts.configuration is None:
-        return (JobFinding("placement", True, "no configuration is in force here"),)
+        return (
+            JobFinding("placement", True, "this daemon has no configuration in force"),
+        )
     service = facts.configuration.services.get(record["service"])
     if service is None:
-        detail = f"service {record['service']} is not configured any more"
+        detail = f"service {record['service']} is no longer configured"
         return (JobFinding("placement", True, detail),)
     return (
         _workers(service.pool, facts),
@@ -99,7 +105,7 @@
     assert facts.configuration is not None
     team = facts.configuration.accounts[account].teams.get(record["team"])
     if team is None:
-        detail = f"team {record['team']} is not configured any more"
+        detail = f"team {record['team']} is no longer configured"
         return JobFinding("quota", True, detail)
     services = facts.configuration.services
     running_count = sum(
@@ -111,20 +117,20 @@
     )
     detail = (
         f"{running_count} jobs of team {team.name} run in pool {pool}, "
-        f"{team.slots_quota_count} may"
+        f"{team.slots_quota_count} are allowed"
     )
     return JobFinding("quota", running_count >= team.slots_quota_count, detail)
 
 
 def _cancellation(record: JobRecord) -> JobFinding:
     if not record["is_cancel_requested"]:
-        return JobFinding("cancellation", False, "not asked for")
+        return JobFinding("cancellation", False, "not requested")
     if record["state"] in ENDED_STATES:
-        return JobFinding("cancellation", False, "asked for, the job has ended")
-    return JobFinding("cancellation", True, "asked for, waits until the task stops")
+        return JobFinding("cancellation", False, "requested, but the job has ended")
+    return JobFinding("cancellation", True, "requested, waits until the task stops")
 
 
-def _shown(size: SizeRecord | None) -> str:
+def _format_size(size: SizeRecord | None) -> str:
     if size is None:
         return "unknown size"
     return (
--- a/src/sycamorecroft/jobs/placement.py
+++ b/src/sycamorecroft/jobs/placement.py
@@ -1,8 +1,8 @@
-"""Placement of queued jobs: a pure decision over one pool.
+"""Places queued jobs on the workers of one pool, by a pure function.
 
-Order: urgency class, then teams by slots in use over weight, then age. A job that
-doesn't fit is passed over, so it never delays the jobs behind it, until it has waited
-so long that a worker is kept for it.
+Jobs are ordered by urgency class, then by their team's ratio of slots in use to weight,
+then by age. A job that doesn't fit is skipped, so that it never delays the jobs behind
+it. Once it has waited too long, one worker is reserved for it.
 """
 
 import heapq
@@ -17,14 +17,14 @@
 
 
 class TeamShare(NamedTuple):
-    """Weight of a team and how many of its jobs may run in the pool at once."""
+    """Weight of a team, and the number of its jobs that may run in the pool at once."""
 
     weight: float
     slots_quota_count: int
 
 
 class QueuedJob(NamedTuple):
-    """A job that waits for a worker since ``queued_s``, with its corrected size."""
+    """A job with its corrected size that has waited for a worker since ``queued_s``."""
 
     job_id: str
     team: str
@@ -44,9 +44,10 @@
 class PlacementInput(NamedTuple):
     """State of a pool. ``queued`` is ordered by age, oldest first.
 
-    ``granted`` are the sizes granted on each worker, ``running_counts`` the jobs of
-    each team that run. Teams without a share may run no job. ``blocked_workers`` take
-    no job for now, such as quarantined ones. At most ``limit_count`` jobs are placed.
+    ``granted`` is the sum of granted sizes by worker, ``running_counts`` the number of
+    running jobs by team. Teams that are not in ``teams`` may run no job.
+    ``blocked_workers`` temporarily get no job, such as quarantined ones. At most
+    ``limit_count`` jobs are placed.
     """
 
     workers: Sequence[Worker]
@@ -62,73 +63,75 @@
 
 def place(state: PlacementInput) -> tuple[Placement, ...]:
     """
-    :returns: the jobs to start now, in order. Best fit by free processors, after
-        workers without accelerators for jobs that need none.
+    :returns: the jobs to start now, in order. Workers are chosen by best fit of free
+        processors, those without free accelerators first.
     """
-    free = _FreeWorkers(state)
-    order = _FairOrder(state)
-    placements = _place_aged(state, free, order)
-    smallest = _smallest(state.queued)
-    while len(placements) < state.limit_count and not free.is_hopeless(smallest):
-        job = order.next_job()
+    free_workers = _FreeWorkers(state)
+    fair_queue = _FairQueue(state)
+    placements = _place_aged(state, free_workers, fair_queue)
+    min_size = _smallest_size(state.queued)
+    while len(placements) < state.limit_count and not free_workers.fits_nowhere(
+        min_size
+    ):
+        job = fair_queue.next_job()
         if job is None:
             break
-        worker = free.best_fit(job)
+        worker = free_workers.best_fit(job)
         if worker is not None:
-            free.take(worker, job.size)
-            order.count(job)
+            free_workers.allocate(worker, job.size)
+            fair_queue.add_running(job)
             placements.append(Placement(job.job_id, worker))
     return tuple(placements)
 
 
-def _smallest(queued: Sequence[QueuedJob]) -> TaskSize:
+def _smallest_size(queued: Sequence[QueuedJob]) -> TaskSize:
     if not queued:
         return TaskSize(0.0, 0, 0)
     return TaskSize(*map(min, zip(*(job.size for job in queued), strict=True)))
 
 
 def _place_aged(
-    state: PlacementInput, free: "_FreeWorkers", order: "_FairOrder"
+    state: PlacementInput, free_workers: "_FreeWorkers", fair_queue: "_FairQueue"
 ) -> list[Placement]:
-    """Places the job that waited longest beyond a limit, or keeps a worker for it.
+    """Places the oldest job beyond the waiting limit, or reserves a worker for it.
 
-    Without it, small or more urgent jobs could take each gap for ever. One job in a
-    round is enough, and costs the others one worker at most.
+    Otherwise, small or more urgent jobs could use up all freed capacity indefinitely.
+    One job per round is enough, and withholds at most one worker from other jobs.
     """
-    for job in order.aged_jobs(state.now_s - state.reserve_after_s):
-        worker = free.best_fit(job)
+    for job in fair_queue.aged_jobs(state.now_s - state.reserve_after_s):
+        worker = free_workers.best_fit(job)
         if worker is not None and state.limit_count > 0:
-            free.take(worker, job.size)
-            order.remove(job)
-            order.count(job)
+            free_workers.allocate(worker, job.size)
+            fair_queue.remove(job)
+            fair_queue.add_running(job)
             return [Placement(job.job_id, worker)]
-        if free.reserve(job):
+        if free_workers.reserve(job):
             return []
     return []
 
 
-def why_unplaceable(size: TaskSize, workers: Iterable[Worker]) -> str | None:
+def unplaceable_reason(size: TaskSize, workers: Iterable[Worker]) -> str | None:
     """
-    :param workers: all workers of the pool, inactive ones too.
-    :returns: the reason why no worker could ever run a job of this size, or ``None``.
-        An empty pool gives no reason, since its hosts may come back.
+    :param workers: all workers of the pool, including inactive ones.
+    :returns: why no worker is large enough for a job of this size, or ``None`` if one
+        is. It is also ``None`` for an empty pool, since its hosts may return.
     """
     sizes = [worker.size for worker in workers]
     if not sizes or any(fits(size, other) for other in sizes):
         return None
-    largest = TaskSize(*(max(values) for values in zip(*sizes, strict=True)))
+    max_size = TaskSize(*(max(values) for values in zip(*sizes, strict=True)))
     return (
         f"needs {size.processors_count:g} processors, {size.memory_bytes} bytes and "
         f"{size.accelerators_count} accelerators; no worker of the pool has all of "
-        f"these, the largest values are {largest.processors_count:g}, "
-        f"{largest.memory_bytes} and {largest.accelerators_count}; submit a smaller "
+        f"these, the largest values are {max_size.processors_count:g}, "
+        f"{max_size.memory_bytes} and {max_size.accelerators_count}; submit a smaller "
         "job"
     )
 
 
 def fits(size: TaskSize, free: TaskSize) -> bool:
     """
-    :returns: whether a free size suffices in each dimension.
+    :returns: whether the free size is sufficient in each dimension.
     """
     return (
         size.processors_count <= free.processors_count
@@ -137,63 +140,64 @@
     )
 
 
-def _minus(left: TaskSize, right: TaskSize) -> TaskSize:
+def _subtract(left: TaskSize, right: TaskSize) -> TaskSize:
     return TaskSize(*(a - b for a, b in zip(left, right, strict=True)))
 
 
 class _FreeWorkers:
-    """Free sizes, sorted by free processors, apart by whether accelerators are free.
+    """Free sizes of workers, indexed by free processors and by free accelerators.
 
-    Free sizes only fall during one placement, so a size that fitted nowhere, and each
-    larger one, needs no further search.
+    Workers with and without free accelerators are kept in separate sorted lists. Free
+    sizes only decrease during a round, so once a size fits nowhere, neither it nor any
+    larger one is searched for again.
     """
 
     def __init__(self, state: PlacementInput) -> None:
         self._free: dict[str, TaskSize] = {}
         self._sizes = {worker.name: worker.size for worker in state.workers}
-        self._hopeless: list[TaskSize] = []
-        self._plain: list[tuple[float, str]] = []
-        self._accelerated: list[tuple[float, str]] = []
+        self._unplaceable_sizes: list[TaskSize] = []
+        self._without_accelerators: list[tuple[float, str]] = []
+        self._with_accelerators: list[tuple[float, str]] = []
         for worker in state.workers:
             if not worker.is_active or worker.name in state.blocked_workers:
                 continue
             granted = state.granted.get(worker.name)
-            free = worker.size if granted is None else _minus(worker.size, granted)
+            free = worker.size if granted is None else _subtract(worker.size, granted)
             self._free[worker.name] = free
-            self._list(free).append((free.processors_count, worker.name))
-        self._plain.sort()
-        self._accelerated.sort()
+            self._candidates_for(free).append((free.processors_count, worker.name))
+        self._without_accelerators.sort()
+        self._with_accelerators.sort()
 
-    def is_hopeless(self, size: TaskSize) -> bool:
+    def fits_nowhere(self, size: TaskSize) -> bool:
         """
-        :returns: whether a size that is not larger fitted nowhere in this round.
+        :returns: whether this size, or a smaller one, was found to fit nowhere.
         """
-        return any(fits(other, size) for other in self._hopeless)
+        return any(fits(other, size) for other in self._unplaceable_sizes)
 
     def best_fit(self, job: QueuedJob) -> str | None:
-        if self.is_hopeless(job.size):
+        if self.fits_nowhere(job.size):
             return None
-        for candidates in (self._plain, self._accelerated):
+        for candidates in (self._without_accelerators, self._with_accelerators):
             worker = self._first_fit(candidates, job)
             if worker is not None:
                 return worker
         if not job.excluded_workers:
-            self._hopeless.append(job.size)
+            self._unplaceable_sizes.append(job.size)
         return None
 
-    def take(self, worker: str, size: TaskSize) -> None:
+    def allocate(self, worker: str, size: TaskSize) -> None:
         free = self._free[worker]
         self._remove(worker, free)
-        free = _minus(free, size)
+        free = _subtract(free, size)
         self._free[worker] = free
-        insort(self._list(free), (free.processors_count, worker))
+        insort(self._candidates_for(free), (free.processors_count, worker))
 
     def reserve(self, job: QueuedJob) -> bool:
-        """Takes the worker with most free processors out of the round.
+        """Excludes the worker with the most free processors from the round.
 
-        :returns: whether there is one that is large enough for the job.
+        :returns: whether there is a worker that is large enough for the job.
         """
-        for candidates in (self._accelerated, self._plain):
+        for candidates in (self._with_accelerators, self._without_accelerators):
             for _, worker in reversed(candidates):
                 if worker in job.excluded_workers:
                     continue
@@ -214,45 +218,53 @@
                 return worker
         return None
 
-    def _list(self, free: TaskSize) -> list[tuple[float, str]]:
-        return self._accelerated if free.accelerators_count > 0 else self._plain
+    def _candidates_for(self, free: TaskSize) -> list[tuple[float, str]]:
+        return (
+            self._with_accelerators
+            if free.accelerators_count > 0
+            else self._without_accelerators
+        )
 
     def _remove(self, worker: str, free: TaskSize) -> None:
-        candidates = self._list(free)
-        entry = (free.processors_count, worker)
-        del candidates[bisect_left(candidates, entry)]
+        candidates = self._candidates_for(free)
+        candidate = (free.processors_count, worker)
+        del candidates[bisect_left(candidates, candidate)]
 
 
-class _FairOrder:
-    """Order of turns. Only a job that is placed counts as a slot of its team, so a
-    team whose jobs don't fit takes nothing from its other jobs or from other teams.
+class _FairQueue:
+    """Queued jobs by urgency class, in weighted fair order of their teams.
+
+    Only placed jobs count as slots in use, so jobs that don't fit use up no share of
+    their team and delay neither its other jobs nor other teams.
     """
 
     def __init__(self, state: PlacementInput) -> None:
         self._teams = state.teams
-        self._counts: defaultdict[str, int] = defaultdict(int, state.running_counts)
+        self._running_counts: defaultdict[str, int] = defaultdict(
+            int, state.running_counts
+        )
         self._queues: dict[Urgency, dict[str, deque[QueuedJob]]] = {}
         for urgency in Urgency:
             self._queues[urgency] = defaultdict(deque)
         for job in state.queued:
             if job.team in state.teams:
                 self._queues[job.urgency][job.team].append(job)
-        self._waiting = deque(Urgency)
-        self._turns: list[tuple[float, str]] = []
-        self._begin_class()
+        self._urgencies = deque(Urgency)
+        self._team_heap: list[tuple[float, str]] = []
+        self._start_urgency_class()
 
-    def aged_jobs(self, until_s: float) -> list[QueuedJob]:
+    def aged_jobs(self, queued_until_s: float) -> list[QueuedJob]:
         """
-        :returns: jobs queued since ``until_s`` or before, of teams within their quota,
-            oldest first.
+        :returns: jobs queued at ``queued_until_s`` or earlier, of teams below their
+            quota, oldest first.
         """
         aged = [
             job
             for queues in self._queues.values()
             for team, queue in queues.items()
-            if self._counts[team] < self._teams[team].slots_quota_count
+            if self._running_counts[team] < self._teams[team].slots_quota_count
             for job in queue
-            if job.queued_s <= until_s
+            if job.queued_s <= queued_until_s
         ]
         return sorted(aged, key=lambda job: job.queued_s)
 
@@ -260,30 +272,33 @@
         self._queues[job.urgency][job.team].remove(job)
 
     def next_job(self) -> QueuedJob | None:
-        while self._turns or self._waiting:
-            if not self._turns:
-                self._waiting.popleft()
-                self._begin_class()
+        while self._team_heap or self._urgencies:
+            if not self._team_heap:
+                self._urgencies.popleft()
+                self._start_urgency_class()
                 continue
-            _, team = heapq.heappop(self._turns)
-            queue = self._queues[self._waiting[0]][team]
-            if queue and self._counts[team] < self._teams[team].slots_quota_count:
+            _, team = heapq.heappop(self._team_heap)
+            queue = self._queues[self._urgencies[0]][team]
+            if (
+                queue
+                and self._running_counts[team] < self._teams[team].slots_quota_count
+            ):
                 job = queue.popleft()
                 self._push(team)
                 return job
         return None
 
-    def count(self, job: QueuedJob) -> None:
-        self._counts[job.team] += 1
-        self._turns = [turn for turn in self._turns if turn[1] != job.team]
-        heapq.heapify(self._turns)
+    def add_running(self, job: QueuedJob) -> None:
+        self._running_counts[job.team] += 1
+        self._team_heap = [item for item in self._team_heap if item[1] != job.team]
+        heapq.heapify(self._team_heap)
         self._push(job.team)
 
-    def _begin_class(self) -> None:
-        if self._waiting:
-            for team in self._queues[self._waiting[0]]:
+    def _start_urgency_class(self) -> None:
+        if self._urgencies:
+            for team in self._queues[self._urgencies[0]]:
                 self._push(team)
 
     def _push(self, team: str) -> None:
-        share = self._counts[team] / self._teams[team].weight
-        heapq.heappush(self._turns, (share, team))
+        share = self._running_counts[team] / self._teams[team].weight
+        heapq.heappush(self._team_heap, (share, team))
--- a/src/sycamorecroft/jobs/planning.py
+++ b/src/sycamorecroft/jobs/planning.py
@@ -1,4 +1,4 @@
-"""Plans of a step for jobs without a live attempt: cancel, judge, place."""
+"""Plans a step's changes to jobs without a live attempt: cancellation and placement."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -13,7 +13,7 @@
     QueuedJob,
     TeamShare,
     place,
-    why_unplaceable,
+    unplaceable_reason,
 )
 from sycamorecroft.jobs.records import (
     LIVE_STATES,
@@ -26,20 +26,20 @@
 from sycamorecroft.jobs.transitions import (
     end_job,
     mark_unplaceable,
-    queue_again,
+    requeue,
     start_attempt,
 )
-from sycamorecroft.jobs.usage import Correction, UsageStatistics, largest
+from sycamorecroft.jobs.usage import Correction, UsageStatistics, elementwise_max
 from sycamorecroft.jobs.view import JobView
 from sycamorecroft.jobs.workers import Worker
 from sycamorecroft.store.interfaces import TaskSize
 
-# A plan that changed nothing is repeated after this time, since jobs that have waited
-# long are placed in another order.
-PLAN_AGAIN_S = 5.0
+# An input for which the last plan was empty is planned again after this time, since
+# jobs that have waited long are placed in a different order.
+REPLAN_INTERVAL_S = 5.0
 
 
-class StepTime(NamedTuple):
+class StepContext(NamedTuple):
     """Lease epoch, monotonic time and wall time of a step."""
 
     epoch: int
@@ -47,16 +47,19 @@
     now: datetime
 
 
-class _Waiting(NamedTuple):
-    """A row and what was made of it, which holds until the row or ``basis`` changes."""
+class _WaitingJob(NamedTuple):
+    """A waiting job's row with its placement input.
+
+    It is valid until the row or ``correction`` changes.
+    """
 
     row: JobRow
-    basis: Correction | None
+    correction: Correction | None
     job: QueuedJob
 
 
-class _PlannedState(NamedTuple):
-    """What a plan depends on, apart from how long jobs have waited."""
+class _PlanInput(NamedTuple):
+    """Inputs of a plan, except for the waiting times of jobs."""
 
     view_generation: int
     configuration_version: int
@@ -64,8 +67,8 @@
     blocked: frozenset[str]
 
 
-class StepPlanner:
-    """Decides on rows without a live attempt. Not thread-safe."""
+class QueuePlanner:
+    """Decides on the jobs of a pool that have no live attempt. Not thread-safe."""
 
     def __init__(
         self,
@@ -81,80 +84,89 @@
         self._health = health
         self._settings = settings
         self._paused_until_s: dict[str, float] = {}
-        self._waiting: dict[str, _Waiting] = {}
+        self._waiting: dict[str, _WaitingJob] = {}
         self._worker_sizes: frozenset[TaskSize] = frozenset()
-        self._fruitless_state: _PlannedState | None = None
+        self._last_empty_input: _PlanInput | None = None
         self._planned_s = 0.0
 
     def pause_worker(self, worker: str, now_s: float) -> None:
-        """Gives a worker that refused a task no job for a while."""
+        """Excludes a worker that refused a task from placement for a limited time.
+
+        :param now_s: monotonic time.
+        """
         self._paused_until_s[worker] = now_s + self._settings.refusal_pause_s
 
     def plan_waiting(
         self,
         workers: Sequence[Worker],
         configuration: FleetConfiguration,
-        decided: Sequence[Change],
-        time: StepTime,
+        live_changes: Sequence[Change],
+        context: StepContext,
     ) -> list[Change]:
         """
-        :param decided: changes of jobs with a live attempt, in this step. Workers of
-            attempts that have ended are free at once.
+        :param live_changes: this step's changes of jobs with a live attempt. Sizes of
+            attempts that they end count as free.
         :returns: changes in the order in which they should be committed.
         """
-        state = _PlannedState(
+        plan_input = _PlanInput(
             self._view.generation,
             configuration.version,
             tuple(workers),
-            self._blocked(workers, time.now_s),
+            self._blocked_workers(workers, context.now_s),
         )
-        is_recent = time.now_s < self._planned_s + PLAN_AGAIN_S
-        if state == self._fruitless_state and is_recent and not decided:
+        is_recent = context.now_s < self._planned_s + REPLAN_INTERVAL_S
+        if plan_input == self._last_empty_input and is_recent and not live_changes:
             return []
-        changes = self._plan(workers, configuration, decided, time)
-        self._fruitless_state = None if changes else state
-        self._planned_s = time.now_s
+        changes = self._plan(workers, configuration, live_changes, context)
+        self._last_empty_input = None if changes else plan_input
+        self._planned_s = context.now_s
         return changes
 
     def _plan(
         self,
         workers: Sequence[Worker],
         configuration: FleetConfiguration,
-        decided: Sequence[Change],
-        time: StepTime,
+        live_changes: Sequence[Change],
+        context: StepContext,
     ) -> list[Change]:
         teams = self._teams(configuration)
         changes: list[Change] = []
-        placeable: list[_Waiting] = []
-        sizer = _Sizer(workers, self._usage)
-        for item in self._refresh_waiting(sizer, time.now_s):
+        placeable: list[_WaitingJob] = []
+        resolver = _SizeResolver(workers, self._usage)
+        for item in self._refresh_waiting(resolver, context.now_s):
             record = item.row.record
-            reason = sizer.why_unplaceable(item.job.size) or _why_no_team(record, teams)
-            changed = _judge(record, reason, time.now)
+            reason = resolver.unplaceable_reason(item.job.size) or _missing_team_reason(
+                record, teams
+            )
+            changed = _reassess(record, reason, context.now)
             if changed is not None:
                 changes.append(Change(item.row, changed))
             elif reason is None:
                 placeable.append(item)
-        return self._place(workers, placeable, teams, decided, time) + changes
+        return self._place(workers, placeable, teams, live_changes, context) + changes
 
-    def _refresh_waiting(self, sizer: "_Sizer", now_s: float) -> Iterable[_Waiting]:
+    def _refresh_waiting(
+        self, resolver: "_SizeResolver", now_s: float
+    ) -> Iterable[_WaitingJob]:
         """
         :returns: all rows without a live attempt that have not ended.
         """
-        known = self._waiting
-        if sizer.worker_sizes != self._worker_sizes:
-            # The size to place depends on which sizes fit a worker at all.
-            self._worker_sizes = sizer.worker_sizes
-            known = {key: item._replace(basis=None) for key, item in known.items()}
+        previous = self._waiting
+        if resolver.worker_sizes != self._worker_sizes:
+            # The size used for placement depends on which sizes fit on any worker.
+            self._worker_sizes = resolver.worker_sizes
+            previous = {
+                key: item._replace(correction=None) for key, item in previous.items()
+            }
         self._waiting = {}
         for row in self._view.in_states(JobState.QUEUED, JobState.UNPLACEABLE):
             job_id = row.record["job_id"]
-            item = known.get(job_id)
-            basis = self._usage.correction(row.record["service"])
-            if item is None or item.row is not row or item.basis != basis:
+            item = previous.get(job_id)
+            correction = self._usage.correction(row.record["service"])
+            if item is None or item.row is not row or item.correction != correction:
                 queued_s = now_s if item is None else item.job.queued_s
-                job = _queued_job(row.record, sizer.size_of(row.record), queued_s)
-                item = _Waiting(row, basis, job)
+                job = _queued_job(row.record, resolver.size_of(row.record), queued_s)
+                item = _WaitingJob(row, correction, job)
             self._waiting[job_id] = item
         return self._waiting.values()
 
@@ -170,16 +182,16 @@
     def _place(
         self,
         workers: Sequence[Worker],
-        waiting: list[_Waiting],
+        waiting: list[_WaitingJob],
         teams: dict[str, TeamShare],
-        decided: Sequence[Change],
-        time: StepTime,
+        live_changes: Sequence[Change],
+        context: StepContext,
     ) -> list[Change]:
         waiting.sort(key=lambda item: item.row.record["submitted_at"])
         by_id = {item.job.job_id: item for item in waiting}
         ended = {
             change.job_id
-            for change in decided
+            for change in live_changes
             if change.record["state"] not in LIVE_STATES
         }
         live = [
@@ -190,11 +202,11 @@
         state = PlacementInput(
             workers=workers,
             granted=_granted_sizes(live),
-            blocked_workers=self._blocked(workers, time.now_s),
+            blocked_workers=self._blocked_workers(workers, context.now_s),
             queued=[item.job for item in waiting],
             teams=teams,
             running_counts=Counter(record["team"] for record in live),
-            now_s=time.now_s,
+            now_s=context.now_s,
             reserve_after_s=self._settings.reserve_after_s,
             limit_count=self._free_starts_count(live),
         )
@@ -202,7 +214,7 @@
         for placement in place(state):
             row, _, job = by_id[placement.job_id]
             record = start_attempt(
-                row.record, worker=placement.worker, size=job.size, epoch=time.epoch
+                row.record, worker=placement.worker, size=job.size, epoch=context.epoch
             )
             changes.append(Change(row, record))
         return changes
@@ -211,7 +223,9 @@
         starting = [record for record in live if record["state"] is JobState.STARTING]
         return max(0, self._settings.starts_max_count - len(starting))
 
-    def _blocked(self, workers: Iterable[Worker], now_s: float) -> frozenset[str]:
+    def _blocked_workers(
+        self, workers: Iterable[Worker], now_s: float
+    ) -> frozenset[str]:
         return frozenset(
             worker.name
             for worker in workers
@@ -220,8 +234,8 @@
         )
 
 
-class _Sizer:
-    """Sizes of jobs against the sizes of the pool's workers, within one step."""
+class _SizeResolver:
+    """Chooses the sizes used for placement, given the sizes of the pool's workers."""
 
     def __init__(self, workers: Sequence[Worker], usage: UsageStatistics) -> None:
         by_size = {worker.size: worker for worker in workers}
@@ -232,21 +246,21 @@
 
     def size_of(self, record: JobRecord) -> TaskSize:
         """
-        :returns: the corrected size if a worker can have it, else the smallest size
+        :returns: the corrected size if it fits on a worker, otherwise the smallest size
             that the job is known to need.
         """
         declared = task_size(record["declared"])
         size = self._usage.corrected(record["service"], declared)
         needed = declared
         if record["required"] is not None:
-            size = largest(size, task_size(record["required"]))
+            size = elementwise_max(size, task_size(record["required"]))
         if record["required"] is not None and record["peak"] is not None:
-            needed = largest(declared, task_size(record["peak"]))
-        return needed if self.why_unplaceable(size) else size
+            needed = elementwise_max(declared, task_size(record["peak"]))
+        return needed if self.unplaceable_reason(size) else size
 
-    def why_unplaceable(self, size: TaskSize) -> str | None:
+    def unplaceable_reason(self, size: TaskSize) -> str | None:
         if size not in self._reasons:
-            self._reasons[size] = why_unplaceable(size, self._workers)
+            self._reasons[size] = unplaceable_reason(size, self._workers)
         return self._reasons[size]
 
 
@@ -267,26 +281,29 @@
         worker, size = record["worker"], record["granted"]
         if worker is None or size is None:
             continue
-        before = granted.get(worker, TaskSize(0.0, 0, 0))
-        granted[worker] = TaskSize(*map(sum, zip(before, task_size(size), strict=True)))
+        granted_size = granted.get(worker, TaskSize(0.0, 0, 0))
+        granted[worker] = TaskSize(
+            *map(sum, zip(granted_size, task_size(size), strict=True))
+        )
     return granted
 
 
-def _why_no_team(record: JobRecord, teams: dict[str, TeamShare]) -> str | None:
+def _missing_team_reason(record: JobRecord, teams: dict[str, TeamShare]) -> str | None:
     if record["team"] in teams:
         return None
-    known = ", ".join(sorted(teams)) or "none"
-    return f"team {record['team']!r} is not configured; configured teams: {known}"
+    configured = ", ".join(sorted(teams)) or "none"
+    return f"team {record['team']!r} is not configured; configured teams: {configured}"
 
 
-def _judge(record: JobRecord, reason: str | None, now: datetime) -> JobRecord | None:
+def _reassess(record: JobRecord, reason: str | None, now: datetime) -> JobRecord | None:
     """
-    :returns: the record to write, ``None`` when it stays as it is.
+    :param reason: why the job can't be placed at all, ``None`` if it can.
+    :returns: the record to write, ``None`` if the job is unchanged.
     """
     if record["is_cancel_requested"]:
         return end_job(record, JobState.CANCELLED, "cancelled", now)
     if reason is not None and record["reason"] != reason:
         return mark_unplaceable(record, reason)
     if reason is None and record["state"] is JobState.UNPLACEABLE:
-        return queue_again(record, "")
+        return requeue(record, "")
     return None
--- a/src/sycamorecroft/jobs/records.py
+++ b/src/sycamorecroft/jobs/records.py
@@ -1,7 +1,7 @@
 """Rows of the tables ``jobs``, ``jobs_ended`` and ``jobs_by_day``.
 
-A job's row moves from ``jobs`` to ``jobs_ended`` in the transaction that ends it, so
-that a controller that takes over reads only the jobs that have not ended.
+A job's row moves from ``jobs`` to ``jobs_ended`` in the transaction that ends the job,
+so that a new lease holder reads only the jobs that have not ended.
 """
 
 import hashlib
@@ -23,7 +23,7 @@
 
 
 class JobState(StrEnum):
-    """State of a job; the last four have no attempt that may be running."""
+    """State of a job; an attempt may run only in ``STARTING`` and ``RUNNING``."""
 
     QUEUED = "queued"
     STARTING = "starting"
@@ -39,7 +39,7 @@
 
 
 class JobRequest(NamedTuple):
-    """A submission; the first three fields identify the job."""
+    """Submission of a job; its first three fields identify the job."""
 
     account: str
     service: str
@@ -51,7 +51,7 @@
 
 
 class SizeRecord(TypedDict):
-    """Form of a :class:`TaskSize` in a row."""
+    """Stored form of a :class:`TaskSize`."""
 
     processors_count: float
     memory_bytes: int
@@ -61,10 +61,10 @@
 class JobRecord(TypedDict):
     """Value of a row of ``jobs`` or ``jobs_ended``; its key is the job id.
 
-    ``attempt`` is the number of the last attempt, 0 before the first one. While the
+    ``attempt`` is the number of the latest attempt, 0 before the first one. While the
     state is ``starting`` or ``running``, that attempt may be running on ``worker``
     with size ``granted``, and ``epoch`` is the lease epoch that started it.
-    ``required`` is the size a restart needs, ``peak`` the largest usage seen.
+    ``required`` is the size that a restart needs, ``peak`` the largest observed usage.
     """
 
     job_id: str
@@ -92,7 +92,7 @@
 
 
 class JobRow(NamedTuple):
-    """A job and the version of its row."""
+    """A job's record and the version of its row."""
 
     record: JobRecord
     version: int
@@ -100,14 +100,15 @@
 
 def jobs_prefix(account: str, service: str | None = None) -> str:
     """
-    :returns: prefix of the ids of the jobs of an account, or of one of its services.
+    :returns: common prefix of the ids of an account's jobs, or of a service's jobs.
     """
     return f"{account}:" if service is None else f"{account}:{service}:"
 
 
 def job_id_of(request: JobRequest) -> str:
     """
-    :returns: the same id for each repetition of a submission.
+    :returns: id derived from account, service and idempotency key, so that a repeated
+        submission gets the id of the first one.
     """
     identity = [request.account, request.service, request.idempotency_key]
     digest = hashlib.sha256(json.dumps(identity).encode()).hexdigest()
@@ -116,14 +117,15 @@
 
 def request_digest(request: JobRequest) -> str:
     """
-    :returns: digest of all fields of a submission.
+    :returns: SHA-256 digest of all fields of a submission, in hexadecimal.
     """
     return hashlib.sha256(json.dumps(request).encode()).hexdigest()
 
 
 def new_job(request: JobRequest, token: str, submitted_at: datetime) -> JobRecord:
     """
-    :param token: unique to the submission; tells it from others after a lost response.
+    :param token: unique to the submission; identifies it after a lost response.
+    :returns: record of a queued job without attempts.
     """
     return {
         "job_id": job_id_of(request),
@@ -153,7 +155,7 @@
 
 def size_record(size: TaskSize) -> SizeRecord:
     """
-    :returns: the size in the form of a row.
+    :returns: the stored form of a size.
     """
     return {
         "processors_count": size.processors_count,
@@ -164,21 +166,22 @@
 
 def task_size(size: SizeRecord) -> TaskSize:
     """
-    :returns: the size from the form of a row.
+    :returns: the size that a row stores.
     """
     return TaskSize(**size)
 
 
 def task_id_of(record: JobRecord) -> str:
     """
-    :returns: id of the task of the job's last attempt.
+    :returns: id of the task that executes the job's latest attempt.
     """
     return f"{record['job_id']}:{record['attempt']}"
 
 
 def job_puts(record: JobRecord) -> tuple[Put, ...]:
     """
-    :returns: writes of a job's row; a job that has ended moves to its own table.
+    :returns: writes that store a job; one that has ended moves to ``jobs_ended`` and
+        is indexed by day.
     """
     value = json.dumps(record, separators=(",", ":")).encode()
     if record["ended_at"] is None:
@@ -198,6 +201,7 @@
 def decode_job(value: bytes) -> JobRecord:
     """
     :param value: JSON text of the row.
+    :returns: the record with its state and urgency as enum members.
     """
     record = json.loads(value)
     record["state"] = JobState(record["state"])
--- a/src/sycamorecroft/jobs/settings.py
+++ b/src/sycamorecroft/jobs/settings.py
@@ -1,16 +1,17 @@
-"""Settings of a job controller."""
+"""Settings of the job controller."""
 
 from typing import NamedTuple
 
 
 class JobSettings(NamedTuple):
-    """Times, and limits of the work of one step.
+    """Intervals and time-outs in s, and limits on the work of one step.
 
-    ``task_lease_s`` is also how long the platform keeps a task running while no
-    controller renews it. A lease is renewed after half of its term, and the tasks of a
-    worker are listed every ``observe_interval_s``, more often only when something is
-    under way there: each takes a call, at 1,000 workers with 8 tasks each some 270 and
-    500 calls a second over all daemons.
+    ``task_lease_s`` is also the time for which the platform keeps a task running while
+    no controller renews it. A lease is renewed after half of its term. The tasks of a
+    worker are listed every ``observe_interval_s``, and in each step only while a start,
+    a cancellation or a drain is in progress there. Each renewal and listing is one
+    call: with 1,000 workers and 8 tasks on each, about 270 renewals and 500 listings
+    per second over all daemons.
     """
 
     task_lease_s: float = 60.0
--- a/src/sycamorecroft/jobs/store.py
+++ b/src/sycamorecroft/jobs/store.py
@@ -1,4 +1,4 @@
-"""Durable jobs: submission, look-up and cancellation by any daemon."""
+"""Submission, look-up and cancellation of durable jobs, on any daemon."""
 
 import time
 import uuid
@@ -40,14 +40,14 @@
 
 ATTEMPTS_MAX_COUNT = 5
 CANCEL_BATCH_COUNT = 200
-BUDGET_RETRY_S = 0.05
+BUDGET_RETRY_INTERVAL_S = 0.05
 
 
 class CancelCounts(NamedTuple):
-    """Result of a mass cancellation, in jobs that had not ended.
+    """Result of a mass cancellation, in numbers of jobs that had not ended.
 
-    ``requested_count`` includes jobs whose end was requested before;
-    ``remaining_count`` were not reached in time.
+    ``requested_count`` includes jobs whose cancellation was requested earlier;
+    ``remaining_count`` is the number of jobs not reached before the deadline.
     """
 
     requested_count: int
@@ -55,10 +55,10 @@
 
 
 class JobStore:
-    """Thread-safe; ``start`` and ``stop`` frame its use.
+    """Stores, reads and cancels jobs. Thread-safe; used between ``start`` and ``stop``.
 
-    A ``NotRunError`` speaks of this call: an earlier submission with the same key,
-    which the store could not be asked about, may have been accepted.
+    A ``NotRunError`` refers to the call that raised it only: an earlier submission
+    with the same key may have been accepted, as the store couldn't be read.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         sleep: Callable[[float], object] = time.sleep,
     ) -> None:
         """
-        :param new_token: returns a token that is unique over all daemons.
+        :param new_token: returns a token that is unique among all daemons.
         :param sleep: waits between retries of a mass cancellation.
         """
         self._tables = tables
@@ -87,22 +87,24 @@
         )
 
     def start(self) -> None:
-        """Starts the thread that batches submissions; called once."""
+        """Starts the thread that batches submissions; must be called once."""
         self._batcher.start()
 
     def stop(self) -> None:
-        """Refuses new submissions and commits the waiting ones."""
+        """Refuses new submissions and commits those that are waiting."""
         self._batcher.stop()
 
     def submit(self, request: JobRequest, *, deadline_s: float) -> JobRecord:
-        """Accepts a job; a repeated submission returns the same job.
+        """Stores a job; a repeated submission returns the job that was stored first.
 
-        :param deadline_s: monotonic time after which the caller no longer waits.
-        :raises RequestError: when the key was used for another submission.
+        :param deadline_s: monotonic time until which the caller waits.
+        :returns: the job as stored.
+        :raises RequestError: when the key was used for a different submission.
         :raises NotRunError: when this submission is known not to be accepted.
-        :raises OutcomeUnknownError: when it may be accepted; repeat to know.
+        :raises OutcomeUnknownError: when it may be accepted; repeat the submission to
+            learn the outcome.
         """
-        is_known = True
+        is_outcome_known = True
         for _ in range(ATTEMPTS_MAX_COUNT):
             record = new_job(request, self._new_token(), self._clock.now())
             ended_check = Check(ENDED_TABLE, record["job_id"], None)
@@ -112,16 +114,16 @@
             if outcome is InsertOutcome.COMMITTED:
                 return record
             if outcome not in (InsertOutcome.CONFLICT, InsertOutcome.UNKNOWN):
-                _refuse(outcome, is_known=is_known)
-            is_known = is_known and outcome is not InsertOutcome.UNKNOWN
-            found = self._accepted(request)
-            if found is not None:
-                return found
-        raise _unknown("the submission got no answer")
+                _raise_not_accepted(outcome, is_outcome_known=is_outcome_known)
+            is_outcome_known = is_outcome_known and outcome is not InsertOutcome.UNKNOWN
+            existing = self._find_accepted(request)
+            if existing is not None:
+                return existing
+        raise _outcome_unknown("the submission got no response")
 
     def get(self, job_id: str) -> JobRecord | None:
         """
-        :returns: the job, or ``None`` when there is none.
+        :returns: the job, ``None`` if there is none with this id.
         :raises StoreUnavailableError: when the row can't be read.
         """
         row = self._read(job_id)
@@ -135,8 +137,8 @@
         include_ended: bool = False,
     ) -> tuple[JobRecord, ...]:
         """
-        :param include_ended: adds the jobs that have ended, which may be very many.
-        :returns: jobs of an account, or of one of its services, in order of id.
+        :param include_ended: also reads the jobs that have ended, which may be many.
+        :returns: jobs of an account, or of one of its services, sorted by id.
         :raises StoreUnavailableError: when the rows can't be read.
         """
         rows = self._scan(account, service, JOBS_TABLE)
@@ -146,43 +148,46 @@
         return tuple(by_id[job_id] for job_id in sorted(by_id))
 
     def cancel(self, job_id: str) -> JobRecord | None:
-        """Requests the end of a job; a job that has ended stays as it is.
+        """Requests the cancellation of a job; a job that has ended is unchanged.
 
-        :returns: the job with the request, or as it ended; ``None`` when absent.
+        :returns: the job marked for cancellation, or as it ended; ``None`` if there is
+            none with this id.
         :raises NotRunError: when the request is known not to be written.
-        :raises OutcomeUnknownError: when it may be written; repeat to know.
+        :raises OutcomeUnknownError: when it may be written; repeat the call to
+            learn the outcome.
         """
         for _ in range(ATTEMPTS_MAX_COUNT):
             row = self._read_for_cancel(job_id)
             if row is None or not _is_cancellable(row):
                 return None if row is None else row.record
-            if self._flag([row]):
+            if self._write_cancellations([row]):
                 return request_cancel(row.record)
-        raise _unknown(f"the cancellation of {job_id!r} got no answer")
+        raise _outcome_unknown(f"the cancellation of {job_id!r} got no response")
 
     def cancel_all(
         self, account: str, service: str | None = None, *, deadline_s: float
     ) -> CancelCounts:
-        """Requests the end of all jobs of an account or service, many in a write.
+        """Requests the cancellation of all jobs of an account or service, in batches.
 
-        The store budget slows it down; it ends at the deadline at the latest.
+        Waits for the store budget where needed, until the deadline at the latest.
 
         :param deadline_s: monotonic time.
+        :returns: how many jobs are marked for cancellation, and how many are not.
         :raises StoreUnavailableError: when the rows can't be read.
         """
         while True:
             rows = self._scan_within_budget(account, service, deadline_s)
-            left = [row for row in rows if _is_cancellable(row)]
-            done_count = self._flag_batches(left, deadline_s)
-            remaining_count = len(left) - done_count
+            cancellable = [row for row in rows if _is_cancellable(row)]
+            written_count = self._cancel_batches(cancellable, deadline_s)
+            remaining_count = len(cancellable) - written_count
             if remaining_count == 0 or self._clock.monotonic_s() >= deadline_s:
                 return CancelCounts(len(rows) - remaining_count, remaining_count)
 
-    def _accepted(self, request: JobRequest) -> JobRecord | None:
+    def _find_accepted(self, request: JobRequest) -> JobRecord | None:
         try:
             row = self._read(job_id_of(request))
         except PlatformError as error:
-            raise _unknown("the job's row can't be read back") from error
+            raise _outcome_unknown("the job's row can't be read back") from error
         if row is None:
             return None
         if row.record["request_digest"] != request_digest(request):
@@ -195,7 +200,7 @@
         return row.record
 
     def _read(self, job_id: str) -> JobRow | None:
-        """Reads in the order in which a job moves, so that it is always seen."""
+        """Reads the tables in the order in which a job moves, so as not to miss it."""
         for table in (JOBS_TABLE, ENDED_TABLE):
             row = self._tables.read(table, job_id, purpose=StorePurpose.JOBS)
             if row is not None and row.value is not None:
@@ -228,32 +233,34 @@
             except StoreBudgetExceededError:
                 if self._clock.monotonic_s() >= deadline_s:
                     raise
-                self._sleep(BUDGET_RETRY_S)
+                self._sleep(BUDGET_RETRY_INTERVAL_S)
 
-    def _flag_batches(self, rows: Sequence[JobRow], deadline_s: float) -> int:
+    def _cancel_batches(self, rows: Sequence[JobRow], deadline_s: float) -> int:
         """
-        :returns: how many rows were flagged; batches with a conflict are left out.
+        :returns: number of rows marked for cancellation, without batches in conflict.
         """
-        done_count = 0
+        written_count = 0
         for start in range(0, len(rows), CANCEL_BATCH_COUNT):
             batch = rows[start : start + CANCEL_BATCH_COUNT]
-            if self._flag_within_budget(batch, deadline_s):
-                done_count += len(batch)
-        return done_count
+            if self._cancel_batch_within_budget(batch, deadline_s):
+                written_count += len(batch)
+        return written_count
 
-    def _flag_within_budget(self, batch: Sequence[JobRow], deadline_s: float) -> bool:
+    def _cancel_batch_within_budget(
+        self, batch: Sequence[JobRow], deadline_s: float
+    ) -> bool:
         while self._clock.monotonic_s() < deadline_s:
             try:
-                return self._flag(batch)
+                return self._write_cancellations(batch)
             except NotRunError as error:
                 if error.reason != "store_budget":
                     raise
-                self._sleep(BUDGET_RETRY_S)
+                self._sleep(BUDGET_RETRY_INTERVAL_S)
         return False
 
-    def _flag(self, rows: Sequence[JobRow]) -> bool:
+    def _write_cancellations(self, rows: Sequence[JobRow]) -> bool:
         """
-        :returns: whether the flags were written; if not, the rows must be read again.
+        :returns: whether the requests were written; if not, read the rows again.
         :raises NotRunError: when the store refused the write.
         """
         checks = [Check(JOBS_TABLE, row.record["job_id"], row.version) for row in rows]
@@ -274,12 +281,15 @@
     return not is_ended and not row.record["is_cancel_requested"]
 
 
-def _refuse(outcome: InsertOutcome, *, is_known: bool) -> NoReturn:
+def _raise_not_accepted(outcome: InsertOutcome, *, is_outcome_known: bool) -> NoReturn:
     """
-    :param is_known: whether no earlier attempt of the submission may be accepted.
+    :param is_outcome_known: whether no earlier attempt of the submission may have been
+        accepted.
+    :raises NotRunError: when the submission is known not to be accepted.
+    :raises OutcomeUnknownError: when it may be accepted.
     """
-    if outcome is InsertOutcome.EXPIRED or not is_known:
-        raise _unknown("the deadline passed or the store refused the repetition")
+    if outcome is InsertOutcome.EXPIRED or not is_outcome_known:
+        raise _outcome_unknown("the deadline passed or the store refused a retry")
     if outcome is InsertOutcome.BUDGET:
         message = "the store budget for jobs is used up; repeat later"
         raise NotRunError("store_budget", message)
@@ -287,6 +297,6 @@
     raise NotRunError("store_unavailable", message)
 
 
-def _unknown(what: str) -> OutcomeUnknownError:
-    message = f"{what}; repeat it with the same key to learn the outcome"
+def _outcome_unknown(subject: str) -> OutcomeUnknownError:
+    message = f"{subject}; repeat it with the same key to learn the outcome"
     return OutcomeUnknownError("store_unavailable", message)
--- a/src/sycamorecroft/jobs/tests/test_controller.py
+++ b/src/sycamorecroft/jobs/tests/test_controller.py
@@ -1,3 +1,5 @@
+"""Job controllers under crashes, lost responses, pauses and failing workers."""
+
 from dataclasses import dataclass
 
 import pytest
@@ -18,12 +20,12 @@
 
 
 class Crash(BaseException):
-    """The process ends here: no handler of the program runs."""
+    """Simulates the end of the process: no handler of the program catches it."""
 
 
 @dataclass
 class CrashAt:
-    """Ends the process at the n-th moment around a call to the platform."""
+    """Crashes at the n-th hook point before or after a call to the platform."""
 
     remaining_count: int
 
@@ -33,9 +35,10 @@
             raise Crash
 
 
-def crash_one(pool, count):
+def run_until_crash(pool, count):
     """
-    :returns: whether the controller crashed before the jobs were done.
+    :param count: number of the hook point at which the controller crashes.
+    :returns: whether the controller reached that hook point, and so crashed.
     """
     hook = CrashAt(count)
     tables = Hooked(pool.platform.tables, hook)
@@ -50,7 +53,7 @@
 
 
 def test_jobs_survive_a_crash_at_any_call(pool):
-    """Guards against a job lost or run twice by a crash between two calls."""
+    """Guards against a job that is lost or run twice after a crash between calls."""
     count = 0
     has_crashed = True
     while has_crashed:
@@ -58,7 +61,7 @@
         pool = JobPool(2)
         for n in range(3):
             pool.submit(f"key-{count}-{n}")
-        has_crashed = crash_one(pool, count)
+        has_crashed = run_until_crash(pool, count)
         pool.add_controller()
         pool.run(30.0)
         assert pool.states() == {"succeeded": 3}, count
@@ -66,8 +69,8 @@
     assert count > 20
 
 
-def test_all_controllers_replaced_at_once(pool):
-    """Guards against jobs that only a lost process knew of."""
+def test_jobs_survive_replacement_of_all_controllers(pool):
+    """Guards against job state that exists only in the memory of a controller."""
     for n in range(30):
         pool.submit(f"key-{n}")
     for _ in range(4):
@@ -79,14 +82,14 @@
     assert pool.states() == {"succeeded": 30}
 
 
-def test_paused_controller_cannot_start_after_its_successor(pool):
-    """Guards against two attempts by a controller that resumes between its commit
-    and the start, after another one took over and found the worker refusing."""
-    resumed = []
+def test_paused_controller_cannot_start_task_after_takeover(pool):
+    """Guards against two live attempts when a controller is paused between its commit
+    and the start, and its successor, refused by the worker, starts another attempt."""
+    pauses = []
 
     def pause(name, moment):
-        if name == "start" and moment is Moment.BEFORE and not resumed:
-            resumed.append(True)
+        if name == "start" and moment is Moment.BEFORE and not pauses:
+            pauses.append(True)
             pool.controllers = [pool.add_controller()]
             pool.platform.tasks._is_worker = lambda name: name != "w0"
             pool.run(20.0)
@@ -97,21 +100,21 @@
     first = pool.add_controller(tasks=Hooked(pool.platform.tasks, pause))
     pool.submit("key", command="")
     first.step(pool.clock.monotonic_s())
-    assert resumed
+    assert pauses
     pool.check_tasks()
     pool.controllers.append(first)
     pool.run(20.0)
     assert pool.states() == {"running": 1}
 
 
-def test_paused_controller_cannot_commit_after_its_successor(pool):
-    """Guards against decisions on an old view, on rows the successor left as is."""
-    resumed = []
+def test_paused_controller_cannot_commit_after_takeover(pool):
+    """Guards against commits based on an old view, on rows that did not change."""
+    pauses = []
 
     def pause(name, moment):
         is_commit = name == "transact" and first.lease.is_held
-        if is_commit and moment is Moment.BEFORE and not resumed:
-            resumed.append(True)
+        if is_commit and moment is Moment.BEFORE and not pauses:
+            pauses.append(True)
             pool.controllers = [pool.add_controller()]
             workers = pool.workers.by_name
             pool.workers.by_name = {"w3": workers["w3"]._replace(is_active=False)}
@@ -120,33 +123,33 @@
     first = pool.add_controller(Hooked(pool.platform.tables, pause))
     pool.submit("key", command="")
     first.step(pool.clock.monotonic_s())
-    assert resumed
+    assert pauses
     [job] = pool.jobs()
     assert (job["state"], job["attempt"]) == (JobState.QUEUED, 0)
 
 
 @pytest.mark.parametrize("takes_effect", [True, False])
-def test_lost_response_to_a_task_start(pool, takes_effect):
-    """Guards against a second task, or none, when a start gets no answer."""
-    lost = []
-
-    def lose(name, moment):
-        wanted = Moment.AFTER if takes_effect else Moment.BEFORE
-        if name == "start" and moment is wanted and not lost:
-            lost.append(True)
+def test_task_start_with_lost_response_runs_once(pool, takes_effect):
+    """Guards against a second task, or none, when a start gets no response."""
+    faults = []
+
+    def lose_response(name, moment):
+        fault_moment = Moment.AFTER if takes_effect else Moment.BEFORE
+        if name == "start" and moment is fault_moment and not faults:
+            faults.append(True)
             raise StoreOutcomeUnknownError("lost")
 
-    pool.add_controller(tasks=Hooked(pool.platform.tasks, lose))
+    pool.add_controller(tasks=Hooked(pool.platform.tasks, lose_response))
     pool.submit("key")
     pool.run(6.0)
-    assert lost
+    assert faults
     [job] = pool.jobs()
     assert (job["state"], job["attempt"]) == (JobState.SUCCEEDED, 1)
 
 
-def test_late_start_is_fenced_before_the_next_attempt(pool):
-    """Guards against a start that arrives after the job was started elsewhere."""
-    late = []
+def test_delayed_start_is_fenced_before_next_attempt(pool):
+    """Guards against a delayed start that takes effect beside the next attempt."""
+    delayed_tasks = []
     tasks = pool.platform.tasks
 
     class LateStart:
@@ -154,10 +157,10 @@
             return getattr(tasks, name)
 
         def start(self, task):
-            if not late:
-                late.append(task)
+            if not delayed_tasks:
+                delayed_tasks.append(task)
                 pool.platform.control.drain(task.worker, operation_id="1")
-                raise StoreOutcomeUnknownError("still on its way")
+                raise StoreOutcomeUnknownError("still in flight")
             tasks.start(task)
 
     pool.add_controller(tasks=LateStart())
@@ -165,14 +168,14 @@
     pool.run(10.0)
     pool.platform.tasks._is_worker = lambda name: True
     with pytest.raises(NotLeaseHolderError):
-        tasks.start(late[0])
+        tasks.start(delayed_tasks[0])
     pool.run(5.0)
     [job] = pool.jobs()
     assert (job["state"], job["attempt"]) == (JobState.RUNNING, 2)
 
 
-def test_lost_response_to_a_commit(pool):
-    """Guards against a start that was never committed, or committed and forgotten."""
+def test_commits_with_lost_responses_are_resolved(pool):
+    """Guards against an uncommitted start, and a committed one that is not executed."""
     for n in range(4):
         pool.submit(f"key-{n}")
     pool.platform.tables.faults.lose_responses(count=3)
@@ -181,8 +184,8 @@
     assert pool.states() == {"succeeded": 4}
 
 
-def test_late_commit_does_not_undo_later_ones(pool):
-    """Guards against a decision that takes effect after others were made."""
+def test_delayed_commit_does_not_overwrite_later_ones(pool):
+    """Guards against a delayed commit that overwrites later decisions."""
     tables = ScriptedTables(pool.platform.tables)
     pool.add_controller(tables)
     pool.run(0.5)
@@ -197,8 +200,8 @@
     assert (job["state"], job["attempt"]) == (JobState.SUCCEEDED, 1)
 
 
-def test_worker_that_fails_all_is_quarantined(pool):
-    """Guards against a worker that takes each job and fails it."""
+def test_worker_that_fails_all_jobs_is_quarantined(pool):
+    """Guards against a faulty worker that keeps getting jobs and fails them all."""
     pool.platform.tasks.set_failing("w0", True)
     pool.add_controller()
     for n in range(60):
@@ -211,8 +214,8 @@
     assert len(failed_jobs) < 20
 
 
-def test_job_that_fails_on_three_workers_is_failed(pool):
-    """Guards against a broken job that is started for ever, or blamed on workers."""
+def test_job_that_fails_on_three_workers_ends_as_failed(pool):
+    """Guards against endless attempts of a broken job, and workers blamed for it."""
     pool.add_controller()
     for n in range(6):
         pool.submit(f"bad-{n}", command="duration_s=1 outcome=failed")
@@ -224,8 +227,8 @@
     assert pool.states()["succeeded"] == 1
 
 
-def test_job_that_can_run_nowhere_delays_no_other(pool):
-    """Guards against head-of-line blocking by jobs that never fit."""
+def test_unplaceable_job_delays_no_other_job(pool):
+    """Guards against head-of-line blocking by jobs that fit on no worker."""
     for n in range(20):
         pool.submit(f"huge-{n}", size=TaskSize(9.0, GIB, 0), urgency="urgent")
     pool.submit("late", urgency="bulk")
@@ -242,8 +245,8 @@
     assert pool.states()["queued"] == 20
 
 
-def test_large_job_is_not_starved_by_small_ones():
-    """Guards against a job that waits for ever while small jobs take each gap."""
+def test_large_job_is_not_starved_by_small_jobs():
+    """Guards against a job that never starts while small jobs use freed capacity."""
     pool = JobPool(2, settings=JobSettings(reserve_after_s=10.0))
     pool.add_controller()
     for n in range(4):
@@ -259,8 +262,8 @@
     pool.close()
 
 
-def test_drained_host_gets_a_checkpoint_before_the_stop(pool):
-    """Guards against work lost by maintenance, and a drain that a job blocks."""
+def test_tasks_on_draining_host_are_checkpointed_before_stop(pool):
+    """Guards against progress lost to a drain, and a job that blocks a drain."""
     running = pool.add_controller()
     pool.submit("key", command="duration_s=20")
     pool.run(10.0)
@@ -274,12 +277,12 @@
     )
     pool.run(12.0)
     [job] = pool.jobs()
-    # 20 s of work end 25 s after the start only with the progress of the checkpoint.
+    # 20 s of work can end 25 s after the start only by resuming from the checkpoint.
     assert (job["state"], job["attempt"]) == (JobState.SUCCEEDED, 2)
 
 
-def test_job_over_its_size_is_throttled_and_restarted_larger(pool):
-    """Guards against a job that takes the memory of its neighbours."""
+def test_job_exceeding_its_size_is_throttled_and_restarted_larger(pool):
+    """Guards against a job that uses the memory of other jobs on its worker."""
     pool.add_controller()
     pool.submit("key", command=f"duration_s=10 memory_bytes={8 * GIB}")
     pool.run(1.5)
@@ -291,8 +294,8 @@
     assert job["required"]["memory_bytes"] >= 8 * GIB
 
 
-def test_lapsed_task_lease_leads_to_the_next_attempt(pool):
-    """Guards against a job that no controller renewed and that nobody restarts."""
+def test_expired_task_lease_leads_to_next_attempt(pool):
+    """Guards against a job that is not restarted after its task lease expired."""
     pool.add_controller()
     pool.submit("key", command="duration_s=100")
     pool.run(5.0)
@@ -304,8 +307,8 @@
     assert (job["state"], job["attempt"]) == (JobState.SUCCEEDED, 2)
 
 
-def test_tasks_are_renewed_while_the_store_is_down(pool):
-    """Guards against a store outage that ends all running jobs."""
+def test_task_leases_are_renewed_during_store_outage(pool):
+    """Guards against expired task leases of all running jobs in a store outage."""
     pool.add_controller()
     pool.submit("key", command="duration_s=120")
     pool.run(5.0)
@@ -315,8 +318,8 @@
     assert (job["state"], job["attempt"]) == (JobState.SUCCEEDED, 1)
 
 
-def test_worker_that_refuses_tasks_gets_no_job_for_a_while(pool):
-    """Guards against a job that is stuck on a host which the list still names."""
+def test_worker_that_refuses_tasks_is_paused(pool):
+    """Guards against a job stuck on a draining host that is still listed as live."""
     pool.platform.control.drain("w0", operation_id="1")
     pool.add_controller()
     for n in range(8):
@@ -325,9 +328,12 @@
     assert pool.states() == {"succeeded": 8}
 
 
-def test_controller_goes_on_after_a_pause_that_nobody_used(pool):
-    """Guards against a controller that stands still for ever: paused past its term
-    within a step, it keeps its epoch, since no other took over."""
+def test_controller_continues_after_pause_without_takeover(pool):
+    """Guards against a controller that makes no progress after a pause.
+
+    The pause exceeds the lease term within a step. No other controller takes over, so
+    the controller renews its lease and keeps its epoch.
+    """
 
     def pause(name, moment):
         if name == "list_tasks" and pool.clock.monotonic_s() < 5.0:
--- a/src/sycamorecroft/jobs/tests/test_health.py
+++ b/src/sycamorecroft/jobs/tests/test_health.py
@@ -1,10 +1,10 @@
-"""Quarantine of workers that fail for a long time."""
+"""Quarantine of workers that fail jobs over weeks."""
 
 from sycamorecroft.jobs.health import QUARANTINE_MAX_S, WorkerHealth
 
 
-def test_quarantine_stays_bounded_when_a_worker_never_recovers():
-    """Guards against an overflow that ends the controller's step for good."""
+def test_quarantine_is_bounded_for_worker_that_never_recovers():
+    """Guards against a float overflow that makes each step of the controller fail."""
     health = WorkerHealth()
     health.add_success("healthy", "rating")
     now_s = 0.0
--- a/src/sycamorecroft/jobs/tests/test_store.py
+++ b/src/sycamorecroft/jobs/tests/test_store.py
@@ -1,3 +1,5 @@
+"""Submission, cancellation and retention of jobs under faults and races."""
+
 import time
 from concurrent.futures import ThreadPoolExecutor
 from datetime import timedelta
@@ -37,8 +39,8 @@
 
 @pytest.mark.parametrize("takes_effect", [False, True])
 @pytest.mark.parametrize("fail_at", range(1, 6))
-def test_submission_with_a_fault_at_any_call(fail_at, takes_effect):
-    """Guards against a job accepted twice, or reported as refused though accepted."""
+def test_submission_is_stored_once_with_fault_at_any_call(fail_at, takes_effect):
+    """Guards against a job accepted twice, or accepted but reported as refused."""
     rows = MemoryTables()
     tables = ScriptedTables(rows)
     tables.fail_at, tables.takes_effect = fail_at, takes_effect
@@ -49,7 +51,7 @@
         try:
             accepted.append(submit(store, "key"))
         except NotRunError:
-            # It speaks of this submission; an earlier one may have been accepted.
+            # The error refers to this call; an earlier one may have been accepted.
             found = rows.scan("jobs", purpose=StorePurpose.JOBS).rows
             assert len(found) == bool(accepted)
         except OutcomeUnknownError:
@@ -59,8 +61,8 @@
     assert len({record["token"] for record in accepted}) == 1
 
 
-def test_submission_that_arrives_late_is_the_same_job():
-    """Guards against a second job when the first submission was only delayed."""
+def test_submission_stored_late_is_the_same_job():
+    """Guards against a second job when the first submission is stored late."""
     rows = MemoryTables()
     tables = ScriptedTables(rows)
     store = JobStore(tables, SystemClock(), batch=BatchSettings(window_s=0.0))
@@ -76,15 +78,15 @@
     store.stop()
 
 
-def test_same_key_for_another_job_is_an_error(pool):
-    """Guards against a job that silently stands for another one."""
+def test_reused_key_for_different_job_is_an_error(pool):
+    """Guards against a submission that silently returns a different job."""
     pool.submit("key")
     with pytest.raises(RequestError, match="new job under a new key"):
         pool.submit("key", command="other")
 
 
-def test_job_that_has_ended_is_not_run_again_by_a_repetition(pool):
-    """Guards against a second run of a submission repeated after the job's end."""
+def test_repeated_submission_does_not_rerun_ended_job(pool):
+    """Guards against a second run when a submission is repeated after the job ended."""
     first = pool.submit("key")
     pool.add_controller()
     pool.run(6.0)
@@ -94,7 +96,7 @@
 
 
 def test_submissions_share_transactions():
-    """Guards against a store budget that a few submissions use up."""
+    """Guards against a store budget used up by a few submissions."""
     tables = MemoryTables()
     store = JobStore(tables, SystemClock(), batch=BatchSettings(window_s=0.1))
     store.start()
@@ -105,25 +107,25 @@
     assert writes_count(tables) <= 5
 
 
-def test_cancellation_that_loses_against_completion(pool):
-    """Guards against a finished job that is reported as cancelled."""
+def test_cancellation_after_completion_has_no_effect(pool):
+    """Guards against a finished job reported as cancelled."""
     job_id = pool.submit("key")["job_id"]
     pool.add_controller()
     pool.run(6.0)
     assert pool.store.cancel(job_id)["state"] is JobState.SUCCEEDED
 
 
-def test_cancellation_between_decision_and_commit(pool):
-    """Guards against an end that overwrites a cancellation, or waits for it, and
-    against other jobs of the batch that are held up."""
+def test_cancellation_between_decision_and_commit_is_kept(pool):
+    """Guards against a job's end that overwrites a cancellation or is blocked by it,
+    and against delays of other jobs in the same batch."""
     ids = [pool.submit(f"key-{n}")["job_id"] for n in range(3)]
     tables = pool.platform.tables
     commit = tables.transact
-    raced = []
+    cancellations = []
 
     def cancel_then_commit(checks, puts, *, purpose):
-        if any(put.table == ENDED_TABLE for put in puts) and not raced:
-            raced.append(True)
+        if any(put.table == ENDED_TABLE for put in puts) and not cancellations:
+            cancellations.append(True)
             pool.store.cancel(ids[0])
         return commit(checks, puts, purpose=purpose)
 
@@ -131,14 +133,14 @@
     controller_tables.transact = cancel_then_commit
     pool.add_controller(controller_tables)
     pool.run(2.5)
-    assert raced
+    assert cancellations
     assert pool.states()["succeeded"] == 2
     pool.run(1.0)
     assert pool.states() == {"succeeded": 3}
 
 
-def test_cancellation_at_each_state(pool):
-    """Guards against a cancelled job that runs on or is started again."""
+def test_jobs_in_each_state_are_cancelled(pool):
+    """Guards against a cancelled job that keeps running or is started again."""
     pool.submit("huge", size=request("x").size._replace(processors_count=99.0))
     for n in range(20):
         pool.submit(f"key-{n}", command="")
@@ -152,8 +154,8 @@
     assert {str(task.state) for task in tasks} == {"stopped"}
 
 
-def test_mass_cancellation_stays_within_the_store_budget(pool):
-    """Guards against thousands of cancellations that crowd out other store calls."""
+def test_mass_cancellation_stays_within_store_budget(pool):
+    """Guards against thousands of cancellations that use up the store budget."""
     count = 3000
     with ThreadPoolExecutor(50) as threads:
         list(threads.map(lambda n: pool.submit(f"key-{n}", command=""), range(count)))
@@ -164,20 +166,20 @@
     pool.add_controller(tables)
     pool.run(5.0)
     before_count = writes_count(pool.platform.tables)
-    begin_s = pool.clock.monotonic_s()
+    start_s = pool.clock.monotonic_s()
     operator = JobStore(tables, pool.clock, sleep=pool.clock.advance)
-    counts = operator.cancel_all("works", deadline_s=begin_s + 10.0)
+    counts = operator.cancel_all("works", deadline_s=start_s + 10.0)
     assert counts == (count, 0)
     pool.run(5.0)
     assert pool.states() == {"cancelled": count}
-    elapsed_s = pool.clock.monotonic_s() - begin_s
+    elapsed_s = pool.clock.monotonic_s() - start_s
     written_count = writes_count(pool.platform.tables) - before_count
     assert written_count <= 60 * elapsed_s
     assert written_count <= 60
 
 
-def test_store_down_refuses_submissions_and_cancellations(pool):
-    """Guards against a job that is accepted but not committed."""
+def test_store_outage_refuses_submissions_and_cancellations(pool):
+    """Guards against jobs or cancellations accepted without a commit."""
     job_id = pool.submit("key")["job_id"]
     pool.platform.tables.faults.set_down()
     with pytest.raises(NotRunError):
@@ -186,8 +188,8 @@
         pool.store.cancel(job_id)
 
 
-def test_retention_removes_jobs_that_ended_long_ago(pool):
-    """Guards against ended jobs that are kept for ever, or removed too early."""
+def test_retention_removes_jobs_after_retention_period(pool):
+    """Guards against ended jobs kept beyond the retention period or removed early."""
     pool.submit("running", command="")
     pool.submit("ended")
     pool.add_controller()
--- a/src/sycamorecroft/jobs/transitions.py
+++ b/src/sycamorecroft/jobs/transitions.py
@@ -1,7 +1,7 @@
-"""Changes of a job's row: pure functions from one record to the next.
+"""State transitions of a job, as pure functions from one record to the next.
 
-Each one checks I9: a new attempt only when the last one is known to have ended, and
-none after the job has ended.
+They check invariant I9: a new attempt starts only when the previous one is known to
+have ended, and none starts after the job has ended.
 """
 
 from datetime import datetime
@@ -17,15 +17,15 @@
     size_record,
     task_size,
 )
-from sycamorecroft.jobs.usage import largest
+from sycamorecroft.jobs.usage import elementwise_max
 from sycamorecroft.store.interfaces import TaskSize, TaskState, TaskStatus
 
 FAILED_WORKERS_MAX_COUNT = 3
-# A restart gets more than was seen, since usage was limited by the old size.
-GROWTH_RATIO = 1.5
-HEADROOM_RATIO = 1.2
-# Usage reports fluctuate; a job is over its size only beyond this share of it.
-OVER_RATIO = 1.1
+# A restarted job gets more than its observed usage, which the old size limited.
+SIZE_GROWTH_RATIO = 1.5
+USAGE_HEADROOM_RATIO = 1.2
+# Usage reports fluctuate, so a job exceeds its size only above this multiple of it.
+OVERUSE_RATIO = 1.1
 LIVE_TASK_STATES = frozenset({TaskState.RUNNING, TaskState.THROTTLED})
 
 
@@ -33,6 +33,7 @@
     record: JobRecord, *, worker: str, size: TaskSize, epoch: int
 ) -> JobRecord:
     """
+    :returns: the job with its next attempt, in state ``starting``.
     :raises InvariantError: if an attempt may be running or the job has ended.
     """
     _require_not_ended(record)
@@ -52,7 +53,9 @@
 
 def mark_running(record: JobRecord, peak: TaskSize) -> JobRecord:
     """
-    :param peak: largest usage seen in any attempt.
+    :param peak: largest usage observed in any attempt.
+    :returns: the job in state ``running``.
+    :raises InvariantError: if the job has ended.
     """
     _require_not_ended(record)
     return {**record, "state": JobState.RUNNING, "peak": size_record(peak)}
@@ -67,8 +70,9 @@
     now: datetime,
 ) -> JobRecord:
     """
-    :param status: the attempt's task, which has ended by the platform's word.
-    :param workers_count: workers of the pool that could run the job.
+    :param status: status of the attempt's task, which the platform reports as ended.
+    :param peak: largest usage observed in any attempt.
+    :param workers_count: number of workers of the pool that the job fits on.
     :returns: the job after the attempt: ended, or queued for the next attempt.
     :raises InvariantError: if the task has not ended.
     """
@@ -83,16 +87,18 @@
     if record["is_cancel_requested"]:
         return end_job(record, JobState.CANCELLED, "cancelled", now)
     if status.state is TaskState.FAILED:
-        return _after_failure(record, status, workers_count, now)
+        return _apply_failure(record, status, workers_count, now)
     record["checkpoint_key"] = status.checkpoint_key or record["checkpoint_key"]
     record["required"] = _required_size(record, peak)
-    return queue_again(record, f"attempt {record['attempt']} ended: {status.state}")
+    return requeue(record, f"attempt {record['attempt']} ended: {status.state}")
 
 
-def queue_again(record: JobRecord, reason: str) -> JobRecord:
+def requeue(record: JobRecord, reason: str) -> JobRecord:
     """
-    :param record: a job whose last attempt is known to have ended, or never to have
+    :param record: a job whose latest attempt is known to have ended, or never to have
         started.
+    :returns: the job in state ``queued``, without a worker.
+    :raises InvariantError: if the job has ended.
     """
     _require_not_ended(record)
     return {
@@ -106,10 +112,13 @@
 
 def mark_unplaceable(record: JobRecord, reason: str) -> JobRecord:
     """
+    :returns: the job in state ``unplaceable``.
     :raises InvariantError: if an attempt may be running.
     """
     if record["state"] in LIVE_STATES:
-        raise InvariantError(f"I9: job {record['job_id']!r} has a live attempt")
+        raise InvariantError(
+            f"I9: job {record['job_id']!r} has an attempt that may be running"
+        )
     return {**record, "state": JobState.UNPLACEABLE, "reason": reason}
 
 
@@ -117,7 +126,9 @@
     record: JobRecord, state: JobState, reason: str, now: datetime
 ) -> JobRecord:
     """
-    :param state: one of the states in which a job has ended.
+    :param state: one of ``ENDED_STATES``.
+    :returns: the job in this state, with the time of its end.
+    :raises InvariantError: if the job has ended already.
     """
     _require_not_ended(record)
     return {
@@ -131,53 +142,54 @@
 
 def request_cancel(record: JobRecord) -> JobRecord:
     """
-    :returns: the record with the flag set; a job that has ended stays as it is.
+    :returns: the job marked for cancellation; one that has ended is unchanged.
     """
     if record["state"] in ENDED_STATES:
         return record
     return {**record, "is_cancel_requested": True}
 
 
-def _after_failure(
+def _apply_failure(
     record: JobRecord, status: TaskStatus, workers_count: int, now: datetime
 ) -> JobRecord:
     failed = sorted({*record["failed_workers"], status.worker})
     record = {**record, "failed_workers": failed}
     allowed_count = min(FAILED_WORKERS_MAX_COUNT, max(1, workers_count))
     if len(failed) < allowed_count:
-        return queue_again(record, f"failed on {status.worker}: {status.detail}")
+        return requeue(record, f"failed on {status.worker}: {status.detail}")
     reason = f"failed on {len(failed)} workers ({', '.join(failed)}): {status.detail}"
     return end_job(record, JobState.FAILED, reason, now)
 
 
 def _required_size(record: JobRecord, peak: TaskSize) -> SizeRecord | None:
     granted = record["granted"]
-    if granted is None or not is_over(peak, task_size(granted)):
+    if granted is None or not exceeds_size(peak, task_size(granted)):
         return record["required"]
     size = task_size(granted)
     if peak.processors_count > size.processors_count:
-        processors_count = _grown(size.processors_count, peak.processors_count)
+        processors_count = _increased(size.processors_count, peak.processors_count)
         size = size._replace(processors_count=processors_count)
     if peak.memory_bytes > size.memory_bytes:
-        memory_bytes = int(_grown(size.memory_bytes, peak.memory_bytes))
+        memory_bytes = int(_increased(size.memory_bytes, peak.memory_bytes))
         size = size._replace(memory_bytes=memory_bytes)
     if record["required"] is not None:
-        size = largest(size, task_size(record["required"]))
+        size = elementwise_max(size, task_size(record["required"]))
     return size_record(size)
 
 
-def is_over(usage: TaskSize, granted: TaskSize) -> bool:
+def exceeds_size(usage: TaskSize, granted: TaskSize) -> bool:
     """
-    :returns: whether a usage exceeds the granted processors or memory.
+    :returns: whether the usage exceeds the granted processors or memory by more than
+        the tolerance for fluctuation.
     """
     return (
-        usage.processors_count > granted.processors_count * OVER_RATIO
-        or usage.memory_bytes > granted.memory_bytes * OVER_RATIO
+        usage.processors_count > granted.processors_count * OVERUSE_RATIO
+        or usage.memory_bytes > granted.memory_bytes * OVERUSE_RATIO
     )
 
 
-def _grown(granted: float, used: float) -> float:
-    return max(granted * GROWTH_RATIO, used * HEADROOM_RATIO)
+def _increased(granted: float, used: float) -> float:
+    return max(granted * SIZE_GROWTH_RATIO, used * USAGE_HEADROOM_RATIO)
 
 
 def _require_not_ended(record: JobRecord) -> None:
--- a/src/sycamorecroft/jobs/usage.py
+++ b/src/sycamorecroft/jobs/usage.py
@@ -1,21 +1,22 @@
-"""Correction of declared sizes by observed usage."""
+"""Corrects declared job sizes by the usage observed in earlier jobs of the service."""
 
 from collections import deque
 from typing import NamedTuple
 
 from sycamorecroft.store.interfaces import TaskSize
 
-WINDOW_COUNT = 200
-# With fewer observations the 95th percentile is the largest value or nearly so.
+WINDOW_JOBS_COUNT = 200
+# With fewer observations the 95th percentile is close to the maximum.
 OBSERVATIONS_MIN_COUNT = 20
 PERCENTILE_RATIO = 0.95
-# Bounds against a service whose first jobs were idle or ran away.
+# Bounds the correction for a service whose first jobs used almost nothing or far too
+# much.
 CORRECTION_MIN_RATIO = 0.1
 CORRECTION_MAX_RATIO = 4.0
 
 
 class Correction(NamedTuple):
-    """Factors by which the declared size of a service's jobs is multiplied."""
+    """Factors by which the declared sizes of a service's jobs are multiplied."""
 
     processors_ratio: float
     memory_ratio: float
@@ -25,17 +26,20 @@
 
 
 class UsageStatistics:
-    """Ratios of used to declared size of the last jobs of each service."""
+    """Ratios of used to declared size of each service's most recent jobs."""
 
     def __init__(self) -> None:
         self._ratios: dict[str, deque[Correction]] = {}
         self._corrections: dict[str, Correction] = {}
 
     def add(self, service: str, *, declared: TaskSize, peak: TaskSize) -> None:
-        """Adds a job that has ended, with its largest usage."""
+        """Records the largest usage of a job that has ended.
+
+        A job that declares no processors or no memory is ignored.
+        """
         if declared.processors_count <= 0 or declared.memory_bytes <= 0:
             return
-        ratios = self._ratios.setdefault(service, deque(maxlen=WINDOW_COUNT))
+        ratios = self._ratios.setdefault(service, deque(maxlen=WINDOW_JOBS_COUNT))
         ratio = Correction(
             peak.processors_count / declared.processors_count,
             peak.memory_bytes / declared.memory_bytes,
@@ -45,7 +49,8 @@
 
     def correction(self, service: str) -> Correction:
         """
-        :returns: 95th percentile of used to declared size, by dimension.
+        :returns: 95th percentile of the ratio of used to declared size, by dimension,
+            or no correction while there are too few observations.
         """
         ratios = self._ratios.get(service, ())
         if len(ratios) < OBSERVATIONS_MIN_COUNT:
@@ -59,7 +64,7 @@
 
     def corrected(self, service: str, declared: TaskSize) -> TaskSize:
         """
-        :returns: the size to place; accelerators are never corrected.
+        :returns: the size to use for placement; accelerators are never corrected.
         """
         ratio = self.correction(service)
         return TaskSize(
@@ -75,8 +80,8 @@
     return min(CORRECTION_MAX_RATIO, max(CORRECTION_MIN_RATIO, value))
 
 
-def largest(left: TaskSize, right: TaskSize) -> TaskSize:
+def elementwise_max(left: TaskSize, right: TaskSize) -> TaskSize:
     """
-    :returns: the larger value of each dimension.
+    :returns: the larger of both values in each dimension.
     """
     return TaskSize(*map(max, left, right))
--- a/src/sycamorecroft/jobs/workers.py
+++ b/src/sycamorecroft/jobs/workers.py
@@ -1,4 +1,4 @@
-"""Workers of a pool as the job controller sees them."""
+"""Workers of a pool: the source of the job controller's placement targets."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 
 class Worker(NamedTuple):
-    """A worker; it takes new tasks only while it is active."""
+    """A worker with its total size; it accepts new tasks only while it is active."""
 
     name: str
     size: TaskSize
@@ -17,19 +17,19 @@
 
 
 class WorkerSource(ABC):
-    """Source of the workers of one pool."""
+    """Provides the workers of one pool."""
 
     @abstractmethod
     def workers(self) -> tuple[Worker, ...]:
         """
-        :returns: all workers of the pool, draining ones too.
+        :returns: all workers of the pool, including draining ones.
         """
 
 
 class PoolWorkers(WorkerSource):
-    """Workers by the pool view, with their sizes by the platform's host list.
+    """Combines the pool view with the worker sizes in the platform's host list.
 
-    A host that is absent from the lagging host list is left out.
+    Hosts that the host list doesn't name, since it lags, are omitted.
     """
 
     def __init__(
@@ -44,10 +44,10 @@
         self._host_listing = host_listing
 
     def workers(self) -> tuple[Worker, ...]:
-        listed = {host.name: host for host in self._host_listing().hosts}
-        found = []
+        hosts_by_name = {host.name: host for host in self._host_listing().hosts}
+        pool_workers = []
         for record in self._pool_view().hosts.values():
-            host = listed.get(record["host"])
+            host = hosts_by_name.get(record["host"])
             if record["pool"] != self._pool or host is None:
                 continue
             size = TaskSize(
@@ -56,5 +56,5 @@
             is_active = (
                 record["state"] == HostState.ACTIVE and host.status is HostStatus.LIVE
             )
-            found.append(Worker(host.name, size, is_active))
-        return tuple(found)
+            pool_workers.append(Worker(host.name, size, is_active))
+        return tuple(pool_workers)
