--- a/src/sycamorecroft/cli/tests/test_fleet_commands.py
+++ b/src/sycamorecroft/cli/tests/test_fleet_commands.py
@@ -30,7 +30,7 @@
 from sycamorecroft.jobs import JobStore
 from sycamorecroft.maintenance import WaveStore
 from sycamorecroft.maintenance.explainer import MaintenanceExplainer
-from sycamorecroft.maintenance.situation import SituationReader
+from sycamorecroft.maintenance.snapshot import MaintenanceSnapshotReader
 from sycamorecroft.membership.state import MemberDigest, MembershipView
 from sycamorecroft.pools.inventory import InventoryStore
 from sycamorecroft.pools.move_requests import MoveRequestStore
@@ -77,7 +77,7 @@
             tuple,
             self.records,
         )
-        reader = SituationReader(tables, fleet.platform.hosts, clock)
+        reader = MaintenanceSnapshotReader(tables, fleet.platform.hosts, clock)
         stores = OperatorStores(
             ConfigurationStore(tables, clock),
             InventoryStore(tables),
--- a/src/sycamorecroft/daemon/operator_stores.py
+++ b/src/sycamorecroft/daemon/operator_stores.py
@@ -7,7 +7,7 @@
 from sycamorecroft.jobs import JobStore
 from sycamorecroft.maintenance import MaintenanceController, WaveStore
 from sycamorecroft.maintenance.explainer import MaintenanceExplainer
-from sycamorecroft.maintenance.situation import SituationReader
+from sycamorecroft.maintenance.snapshot import MaintenanceSnapshotReader
 from sycamorecroft.pools.inventory import InventoryStore
 from sycamorecroft.pools.move_requests import MoveRequestStore
 from sycamorecroft.store.interfaces import StorePurpose
@@ -30,7 +30,7 @@
         MoveRequestStore(tables),
         WaveStore(tables, clock),
         MaintenanceExplainer(
-            maintenance, SituationReader(tables, platform.host_list, clock)
+            maintenance, MaintenanceSnapshotReader(tables, platform.host_list, clock)
         ),
         jobs,
     )
--- a/src/sycamorecroft/entry/operator_explanations.py
+++ b/src/sycamorecroft/entry/operator_explanations.py
@@ -37,11 +37,11 @@
         """Findings on a host."""
         inventory = self._stores.inventory.read(StorePurpose.OPERATORS)
         facts = HostFacts(
-            self._stores.maintenance.situation(),
+            self._stores.maintenance.snapshot(),
             {item.host: item.pool for item in inventory.hosts},
             self._stores.moves.pending(),
         )
-        known = facts.situation.hosts.keys() | facts.declared_pools.keys()
+        known = facts.snapshot.hosts.keys() | facts.declared_pools.keys()
         if host not in known:
             raise RequestError(f"host {host!r} is unknown; list the hosts")
         findings = explain_host(host, facts)
--- a/src/sycamorecroft/maintenance/__init__.py
+++ b/src/sycamorecroft/maintenance/__init__.py
@@ -1,4 +1,4 @@
-"""Declared maintenance waves and the controller that carries them out."""
+"""Declared maintenance waves and the controller that executes them."""
 
 from sycamorecroft.maintenance.controller import MaintenanceController, StepReport
 from sycamorecroft.maintenance.explanation import HostExplanation
--- a/src/sycamorecroft/maintenance/controller.py
+++ b/src/sycamorecroft/maintenance/controller.py
@@ -1,4 +1,4 @@
-"""Controller that drives hosts through their maintenance."""
+"""Controller that executes maintenance waves: drains, reboots and returns hosts."""
 
 from collections.abc import Mapping
 from datetime import datetime
@@ -20,7 +20,7 @@
     explain_wave,
     plan_waves,
 )
-from sycamorecroft.maintenance.host_sequence import HostSequence
+from sycamorecroft.maintenance.host_workflow import HostWorkflow
 from sycamorecroft.maintenance.records import (
     MAINTENANCE_TABLE,
     HostOutcome,
@@ -31,7 +31,10 @@
     progress_key,
     wave_key,
 )
-from sycamorecroft.maintenance.situation import Situation, SituationReader
+from sycamorecroft.maintenance.snapshot import (
+    MaintenanceSnapshot,
+    MaintenanceSnapshotReader,
+)
 from sycamorecroft.pools.host_rows import SideWrite
 from sycamorecroft.pools.registry import PoolRegistry
 from sycamorecroft.pools.state import HostState
@@ -45,13 +48,14 @@
 )
 
 LEASE_NAME = "maintenance"
-# Keep one step within the store budget of pools and maintenance, 20 writes/s.
+# These limits keep one step within the store budget of pools and maintenance, which
+# is 20 writes/s.
 STARTS_PER_STEP_COUNT = 10
 ADVANCES_PER_STEP_COUNT = 5
 
 
 class StepReport(NamedTuple):
-    """What one step did. ``problem`` is empty when the step went through."""
+    """Result of one step. ``problem`` is the error that ended it, empty if none did."""
 
     is_holder: bool
     started_hosts: tuple[str, ...]
@@ -61,12 +65,12 @@
 
 
 class MaintenanceController:
-    """Takes hosts of declared waves out of service, reboots and returns them.
+    """Drains and reboots the hosts of declared waves and returns them to service.
 
-    All state is in the tables: a controller that is started anew, or takes over,
-    continues from the rows. Not thread-safe; one actor calls it about once a second.
+    All state is in the tables, so that a restarted controller or a new lease holder
+    continues from the rows. Not thread-safe; one actor calls it about once per second.
 
-    :param lease: lease ``maintenance``; :meth:`step` acquires and renews it.
+    :param lease: the lease ``maintenance``, which :meth:`step` acquires and renews.
     """
 
     def __init__(
@@ -80,37 +84,39 @@
         self._table = table
         self._lease = lease
         self._registry = PoolRegistry(table, host_list, lease, clock)
-        self._reader = SituationReader(table, host_list, clock)
-        self._sequence = HostSequence(self._registry, host_control, clock)
+        self._reader = MaintenanceSnapshotReader(table, host_list, clock)
+        self._workflow = HostWorkflow(self._registry, host_control, clock)
         self._needed_counts: Mapping[str, int] = {}
-        self._latest: Situation | None = None
+        self._latest: MaintenanceSnapshot | None = None
 
     @property
-    def latest_situation(self) -> Situation | None:
-        """What the last step decided on, ``None`` while the lease isn't held.
+    def latest_snapshot(self) -> MaintenanceSnapshot | None:
+        """Input of the last step, ``None`` before it or while the lease isn't held.
 
-        Immutable; may be read by any thread.
+        Immutable; any thread may read it.
         """
         return self._latest if self._lease.is_held else None
 
     def observe_demand(self, needed_counts: Mapping[str, int]) -> None:
-        """
-        :param needed_counts: number of hosts that the demand of each pool needs.
+        """Sets the demand that the next steps respect.
+
+        :param needed_counts: number of hosts that each pool's demand requires.
         """
         self._needed_counts = dict(needed_counts)
 
     def explain(self, wave_id: str) -> tuple[HostExplanation, ...]:
         """
-        :returns: for each host of the wave why it waits.
+        :returns: for each host of the wave, its state or why it waits.
         :raises KeyError: when the wave is unknown.
         :raises StoreUnavailableError: when the tables can't be read.
         """
         return explain_wave(wave_id, self._reader.read(self._needed_counts))
 
     def step(self, now: datetime) -> StepReport:
-        """Advances each host as far as it can go now, and starts new drains.
+        """Advances hosts in maintenance, finishes waves and starts new drains.
 
         :param now: wall time, recorded with the outcomes.
+        :returns: what the step did; errors of the platform are in ``problem``.
         """
         report = StepReport(False, (), (), (), "")
         try:
@@ -123,35 +129,37 @@
             return report._replace(is_holder=self._lease.is_held, problem=str(error))
 
     def _step(self, now: datetime) -> StepReport:
-        situation = self._reader.read(self._needed_counts)
-        self._latest = situation
-        advanced = self._advance_hosts(situation, now)
-        finished = self._end_waves(situation, now)
-        started = self._start_hosts(situation)
+        snapshot = self._reader.read(self._needed_counts)
+        self._latest = snapshot
+        advanced = self._advance_hosts(snapshot, now)
+        finished = self._finish_waves(snapshot, now)
+        started = self._start_hosts(snapshot)
         return StepReport(True, started, advanced, finished, "")
 
-    def _advance_hosts(self, situation: Situation, now: datetime) -> tuple[str, ...]:
+    def _advance_hosts(
+        self, snapshot: MaintenanceSnapshot, now: datetime
+    ) -> tuple[str, ...]:
         advanced: list[str] = []
-        for name, row in sorted(situation.hosts.items()):
+        for name, row in sorted(snapshot.hosts.items()):
             record = row.record
             if len(advanced) == ADVANCES_PER_STEP_COUNT:
                 break
             if record["maintenance_id"] is None or record["state"] == HostState.ACTIVE:
                 continue
             try:
-                end = _EndWriter(situation, now)
-                if self._sequence.advance(row, situation.acknowledgements, end.write):
+                writer = _OutcomeWriter(snapshot, now)
+                if self._workflow.advance(row, snapshot.acknowledgements, writer.write):
                     advanced.append(name)
             except (HostBlockedError, StoreConflictError, PoolOperationError):
                 continue
         return tuple(advanced)
 
-    def _start_hosts(self, situation: Situation) -> tuple[str, ...]:
+    def _start_hosts(self, snapshot: MaintenanceSnapshot) -> tuple[str, ...]:
         started = []
-        starts = plan_waves(situation).starts
+        starts = plan_waves(snapshot).starts
         for host, wave_id in list(starts.items())[:STARTS_PER_STEP_COUNT]:
-            wave = situation.waves[wave_id]
-            # A pause or cancellation that was committed first prevents the drain.
+            wave = snapshot.waves[wave_id]
+            # Prevents the drain if a pause or cancellation was committed before it.
             check = Check(MAINTENANCE_TABLE, wave_key(wave_id), wave.version)
             try:
                 self._registry.begin_drain(host, wave_id, SideWrite(checks=(check,)))
@@ -160,16 +168,20 @@
             started.append(host)
         return tuple(started)
 
-    def _end_waves(self, situation: Situation, now: datetime) -> tuple[str, ...]:
+    def _finish_waves(
+        self, snapshot: MaintenanceSnapshot, now: datetime
+    ) -> tuple[str, ...]:
         finished = []
-        for wave in situation.open_waves():
-            remaining = situation.remaining_hosts(wave)
-            lost = [host for host in remaining if _outcome_of_lost(host, situation)]
+        for wave in snapshot.open_waves():
+            remaining = snapshot.remaining_hosts(wave)
+            unavailable = [
+                host for host in remaining if _outcome_if_unavailable(host, snapshot)
+            ]
             if not remaining:
                 self._finish(wave)
                 finished.append(wave.record["id"])
-            for host in lost:
-                self._record_lost(wave, host, situation, now)
+            for host in unavailable:
+                self._record_unavailable(wave, host, snapshot, now)
         return tuple(finished)
 
     def _finish(self, wave: WaveRow) -> None:
@@ -180,10 +192,10 @@
         put = Put(MAINTENANCE_TABLE, key, encode_record(record))
         transact_resolved(self._table, checks, [put], purpose=StorePurpose.POOLS)
 
-    def _record_lost(
-        self, wave: WaveRow, host: str, situation: Situation, now: datetime
+    def _record_unavailable(
+        self, wave: WaveRow, host: str, snapshot: MaintenanceSnapshot, now: datetime
     ) -> None:
-        outcome = _outcome_of_lost(host, situation)
+        outcome = _outcome_if_unavailable(host, snapshot)
         if outcome is None:
             return
         put = progress_put(wave.record["id"], host, outcome, now)
@@ -191,38 +203,38 @@
         transact_resolved(self._table, checks, [put], purpose=StorePurpose.POOLS)
 
 
-class _EndWriter:
-    """Adds the progress rows of all waves that a reboot serves to a transaction."""
+class _OutcomeWriter:
+    """Builds the progress rows of all waves that one reboot completes for a host."""
 
-    def __init__(self, situation: Situation, now: datetime) -> None:
-        self._situation = situation
+    def __init__(self, snapshot: MaintenanceSnapshot, now: datetime) -> None:
+        self._snapshot = snapshot
         self._now = now
 
     def write(self, host: str, maintenance_id: str, outcome: HostOutcome) -> SideWrite:
         """
-        :returns: the progress rows that end the waves for the host.
+        :returns: progress rows to commit with the end of the host's maintenance.
         """
         puts = tuple(
             progress_put(wave.record["id"], host, outcome, self._now)
-            for wave in self._situation.waves.values()
-            if self._is_served(wave, host, maintenance_id)
+            for wave in self._snapshot.waves.values()
+            if self._is_completed(wave, host, maintenance_id)
         )
         return SideWrite(puts=puts)
 
-    def _is_served(self, wave: WaveRow, host: str, maintenance_id: str) -> bool:
+    def _is_completed(self, wave: WaveRow, host: str, maintenance_id: str) -> bool:
         record = wave.record
         if record["id"] == maintenance_id:
             return True
         return (
-            wave in self._situation.open_waves()
-            and host in self._situation.remaining_hosts(wave)
+            wave in self._snapshot.open_waves()
+            and host in self._snapshot.remaining_hosts(wave)
             and host not in record["rebooting_hosts"]
         )
 
 
 def progress_put(wave_id: str, host: str, outcome: HostOutcome, now: datetime) -> Put:
     """
-    :returns: the write that ends a wave for a host.
+    :returns: write that stores the outcome of a wave for a host.
     """
     record = ProgressRecord(
         wave_id=wave_id, host=host, outcome=outcome, ended_at=now.isoformat()
@@ -231,8 +243,10 @@
     return Put(MAINTENANCE_TABLE, key, encode_record(record))
 
 
-def _outcome_of_lost(host: str, situation: Situation) -> HostOutcome | None:
-    row = situation.hosts.get(host)
+def _outcome_if_unavailable(
+    host: str, snapshot: MaintenanceSnapshot
+) -> HostOutcome | None:
+    row = snapshot.hosts.get(host)
     if row is None:
         return HostOutcome.REMOVED
     if row.record["state"] == HostState.OUT:
--- a/src/sycamorecroft/maintenance/host_explanation.py
+++ b/src/sycamorecroft/maintenance/host_explanation.py
@@ -1,11 +1,14 @@
-"""Explains where a host is and what it waits for, by the order of decisions. Pure."""
+"""Explains the state of a host and what it waits for, in the order of decisions.
+
+Pure functions of a snapshot, the inventory and the requested moves.
+"""
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
 from sycamorecroft.maintenance.explanation import explain_wave
 from sycamorecroft.maintenance.planning import WaitReason
-from sycamorecroft.maintenance.situation import Situation
+from sycamorecroft.maintenance.snapshot import MaintenanceSnapshot
 from sycamorecroft.pools.clearance import (
     HELD_GRANTS_WAIT_S,
     DrainingHost,
@@ -16,7 +19,7 @@
 
 
 class Finding(NamedTuple):
-    """Result of one step of a decision. ``holds_up`` marks what is waited for."""
+    """Result of one decision step; ``holds_up`` is true if the host waits for it."""
 
     step: str
     holds_up: bool
@@ -24,13 +27,13 @@
 
 
 class HostFacts(NamedTuple):
-    """What decisions on hosts depend on.
+    """Inputs of decisions on hosts.
 
-    ``declared_pools`` and ``requested_pools`` map hosts to the pool that the inventory
-    declares and to the one that an operator asked to move the host to.
+    ``declared_pools`` maps hosts to the pool that the inventory declares,
+    ``requested_pools`` to the pool that an operator requested to move the host to.
     """
 
-    situation: Situation
+    snapshot: MaintenanceSnapshot
     declared_pools: Mapping[str, str]
     requested_pools: Mapping[str, str]
 
@@ -41,11 +44,11 @@
         entry hosts.
     """
     inventory = _inventory(host, facts)
-    row = facts.situation.hosts.get(host)
+    row = facts.snapshot.hosts.get(host)
     if row is None:
         detail = (
             "not registered: the platform's host list doesn't name it as live, or it "
-            "was removed after it had been absent"
+            "was removed after being absent"
         )
         return (inventory, Finding("pool", True, detail))
     return (
@@ -77,8 +80,10 @@
 def _state(record: HostRecord, facts: HostFacts) -> Finding:
     detail = f"{record['state'].value}, epoch {record['epoch']}"
     if record["state"] == HostState.OUT:
-        return Finding("state", True, f"{detail}; failed, returns once it is live")
-    if record["host"] in facts.situation.failures.failed_hosts:
+        return Finding(
+            "state", True, f"{detail}; failed, returns to service once it is live"
+        )
+    if record["host"] in facts.snapshot.failures.failed_hosts:
         return Finding("state", True, f"{detail}; the platform lists it as not live")
     return Finding("state", False, detail)
 
@@ -90,12 +95,12 @@
         return Finding("move", True, detail)
     if requested is None:
         return Finding("move", False, "none")
-    detail = f"asked for to pool {requested}, not begun"
+    detail = f"asked for to pool {requested}, not started"
     return Finding("move", True, detail)
 
 
 def _budget(record: HostRecord, facts: HostFacts) -> Finding:
-    budget = facts.situation.budgets.get(record["pool"])
+    budget = facts.snapshot.budgets.get(record["pool"])
     if budget is None:
         return Finding("budget", True, f"pool {record['pool']} has no budget row")
     out_count = budget["planned_out_count"] + budget["failed_out_count"]
@@ -104,27 +109,27 @@
         f"{out_count} of {budget['hosts_count']} hosts of pool {record['pool']} are "
         f"out, {allowed_count} may be"
     )
-    is_wanted_out = _is_wanted_out(record["host"], facts)
+    is_removal_requested = _is_removal_requested(record["host"], facts)
     is_used_up = out_count >= allowed_count
     is_active = record["state"] == HostState.ACTIVE
-    return Finding("budget", is_wanted_out and is_used_up and is_active, detail)
+    return Finding("budget", is_removal_requested and is_used_up and is_active, detail)
 
 
-def _is_wanted_out(host: str, facts: HostFacts) -> bool:
-    situation = facts.situation
-    waves = situation.open_waves()
-    is_in_wave = any(host in situation.remaining_hosts(wave) for wave in waves)
+def _is_removal_requested(host: str, facts: HostFacts) -> bool:
+    snapshot = facts.snapshot
+    waves = snapshot.open_waves()
+    is_in_wave = any(host in snapshot.remaining_hosts(wave) for wave in waves)
     return is_in_wave or host in facts.requested_pools
 
 
 def _maintenance(host: str, facts: HostFacts) -> list[Finding]:
-    situation = facts.situation
+    snapshot = facts.snapshot
     findings = []
-    for wave in situation.open_waves():
+    for wave in snapshot.open_waves():
         if host not in wave.record["hosts"]:
             continue
         wave_id = wave.record["id"]
-        explained = explain_wave(wave_id, situation)
+        explained = explain_wave(wave_id, snapshot)
         own = next(item for item in explained if item.host == host)
         detail = f"wave {wave_id}: {own.reason.value}"
         if own.detail:
@@ -137,13 +142,13 @@
 def _entry_hosts(row: HostRow, facts: HostFacts) -> list[Finding]:
     if row.record["state"] != HostState.DRAINING:
         return [Finding("entry hosts", False, "not asked, the host doesn't drain")]
-    # The time since the drain is known to the controller only.
+    # Only the controller knows the time since the drain started.
     draining = DrainingHost(row.record["host"], row.version, float("inf"))
-    blockers = evaluate_clearance(draining, facts.situation.acknowledgements).blockers
+    blockers = evaluate_clearance(draining, facts.snapshot.acknowledgements).blockers
     if not blockers:
         detail = (
-            "all acknowledged the drain; the controller goes on "
-            f"{HELD_GRANTS_WAIT_S:g} s after it saw the drain"
+            "all acknowledged the drain; the controller continues "
+            f"{HELD_GRANTS_WAIT_S:g} s after it first read the drain"
         )
         return [Finding("entry hosts", False, detail)]
     return [
--- a/src/sycamorecroft/maintenance/host_sequence.py
+++ b/src/sycamorecroft/maintenance/host_workflow.py
@@ -1,4 +1,4 @@
-"""Sequence of one host's maintenance: drain, reboot, return to service."""
+"""Workflow of one host's maintenance: drain, reboot, return to service."""
 
 from collections.abc import Callable
 from typing import NamedTuple, TypeAlias
@@ -13,12 +13,12 @@
 from sycamorecroft.pools.state import HostState
 from sycamorecroft.store.interfaces import HostControl, HostPhase
 
-# Time for the platform to report the reboot that it accepted.
-REBOOT_SETTLE_S = 5.0
-# A host that is not up again after this time is taken out of its pool.
-REBOOT_LIMIT_S = 1800.0
+# Time within which the platform reports a reboot that it has accepted.
+REBOOT_REPORT_DELAY_S = 5.0
+# A host that is not up again after this time is taken out of service.
+REBOOT_TIMEOUT_S = 1800.0
 
-EndWrite: TypeAlias = Callable[[str, str, HostOutcome], SideWrite]
+OutcomeWriteFactory: TypeAlias = Callable[[str, str, HostOutcome], SideWrite]
 
 
 class _Reboot(NamedTuple):
@@ -27,10 +27,11 @@
     accepted_s: float | None
 
 
-class HostSequence:
-    """Advances hosts whose state is in their rows. Calls to the platform repeat with
-    the same operation id until they succeed, so that a crash between a row and the
-    platform's call loses nothing.
+class HostWorkflow:
+    """Advances hosts through maintenance; their state is kept in their rows.
+
+    Calls to the platform are repeated with the same operation id until they succeed,
+    so that no call is lost by a crash after the row was written.
     """
 
     def __init__(
@@ -40,15 +41,19 @@
         self._host_control = host_control
         self._clock = clock
         self._reboots: dict[str, _Reboot] = {}
-        self._drained_operations: set[str] = set()
+        self._accepted_drains: set[str] = set()
 
     def advance(
-        self, row: HostRow, acknowledgements: Acknowledgements, end_write: EndWrite
+        self,
+        row: HostRow,
+        acknowledgements: Acknowledgements,
+        outcome_write: OutcomeWriteFactory,
     ) -> bool:
-        """Takes the host as many states further as it can go now.
+        """Advances the host through as many states as it can pass now.
 
         :param acknowledgements: read after ``row``.
-        :param end_write: writes that accompany the end of the host's maintenance.
+        :param outcome_write: returns the writes to commit with the end of the host's
+            maintenance, from host, maintenance id and outcome.
         :returns: whether the host's state changed.
         :raises HostBlockedError: when entry hosts may still send requests to it.
         """
@@ -57,29 +62,29 @@
             if not self._registry.clearance(row, acknowledgements).is_clear:
                 return False
             row = self._registry.mark_drained(row.record["host"], acknowledgements)
-            self._begin_reboot(row)
+            self._start_reboot(row)
             return True
         if row.record["state"] == HostState.DRAINED:
-            self._begin_reboot(row)
+            self._start_reboot(row)
             return True
         if row.record["state"] == HostState.REBOOTING:
-            return self._finish_reboot(row, end_write)
+            return self._finish_reboot(row, outcome_write)
         return False
 
     def _drain(self, row: HostRow) -> None:
         operation_id = _operation_id(row)
-        if operation_id in self._drained_operations:
+        if operation_id in self._accepted_drains:
             return
         try:
             self._host_control.drain(row.record["host"], operation_id=operation_id)
         except PlatformError:
-            # The platform is told again by the next step; requests drain by the
-            # host row alone.
+            # The next step repeats the call. Requests are drained by the host row
+            # alone, without the platform.
             return
-        self._drained_operations.add(operation_id)
+        self._accepted_drains.add(operation_id)
 
-    def _begin_reboot(self, row: HostRow) -> None:
-        self._drained_operations.discard(_operation_id(row))
+    def _start_reboot(self, row: HostRow) -> None:
+        self._accepted_drains.discard(_operation_id(row))
         row = self._registry.reboot(row.record["host"])
         self._request_reboot(row)
 
@@ -87,38 +92,41 @@
         host = row.record["host"]
         operation_id = _operation_id(row)
         now_s = self._clock.monotonic_s()
-        known = self._reboots.get(host)
-        if known is None or known.operation_id != operation_id:
-            known = _Reboot(operation_id, now_s, None)
-            self._reboots[host] = known
-        if known.accepted_s is not None:
-            return known
+        reboot = self._reboots.get(host)
+        if reboot is None or reboot.operation_id != operation_id:
+            reboot = _Reboot(operation_id, now_s, None)
+            self._reboots[host] = reboot
+        if reboot.accepted_s is not None:
+            return reboot
         try:
             self._host_control.reboot(host, operation_id=operation_id)
         except PlatformError:
-            return known
-        known = known._replace(accepted_s=now_s)
-        self._reboots[host] = known
-        return known
+            return reboot
+        reboot = reboot._replace(accepted_s=now_s)
+        self._reboots[host] = reboot
+        return reboot
 
-    def _finish_reboot(self, row: HostRow, end_write: EndWrite) -> bool:
+    def _finish_reboot(self, row: HostRow, outcome_write: OutcomeWriteFactory) -> bool:
         host = row.record["host"]
         maintenance_id = row.record["maintenance_id"] or ""
         reboot = self._request_reboot(row)
         now_s = self._clock.monotonic_s()
         if self._is_up(host, reboot, now_s):
-            side = end_write(host, maintenance_id, HostOutcome.DONE)
-            self._registry.return_to_service(host, side)
-        elif now_s - reboot.first_seen_s >= REBOOT_LIMIT_S:
-            side = end_write(host, maintenance_id, HostOutcome.TAKEN_OUT)
-            self._registry.take_out(host, side)
+            side_write = outcome_write(host, maintenance_id, HostOutcome.DONE)
+            self._registry.return_to_service(host, side_write)
+        elif now_s - reboot.first_seen_s >= REBOOT_TIMEOUT_S:
+            side_write = outcome_write(host, maintenance_id, HostOutcome.TAKEN_OUT)
+            self._registry.take_out(host, side_write)
         else:
             return False
         del self._reboots[host]
         return True
 
     def _is_up(self, host: str, reboot: _Reboot, now_s: float) -> bool:
-        if reboot.accepted_s is None or now_s - reboot.accepted_s < REBOOT_SETTLE_S:
+        if (
+            reboot.accepted_s is None
+            or now_s - reboot.accepted_s < REBOOT_REPORT_DELAY_S
+        ):
             return False
         try:
             return self._host_control.phase(host) is HostPhase.UP
--- a/src/sycamorecroft/maintenance/planning.py
+++ b/src/sycamorecroft/maintenance/planning.py
@@ -1,4 +1,4 @@
-"""Batches of hosts that may leave service together. Pure."""
+"""Plans batches of hosts that may leave service together, by pure functions."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -11,7 +11,7 @@
 
 
 class WaitReason(StrEnum):
-    """Why a host of a wave is where it is."""
+    """State of a host in a wave, or the reason why it waits."""
 
     DONE = "done"
     NEXT = "next"
@@ -33,18 +33,18 @@
 
 
 class HostWait(NamedTuple):
-    """Why one host waits."""
+    """Reason why a host waits, with details for operators."""
 
     reason: WaitReason
     detail: str
 
 
 class BatchRequest(NamedTuple):
-    """What :func:`plan_batch` decides on.
+    """Input of :func:`plan_batch`.
 
-    ``waiting`` holds active hosts in order of priority. ``failed_hosts`` are hosts
-    that the platform reports as gone or leaving. ``needed_counts`` is the number of
-    hosts that each pool's demand needs; pools that are not named need none.
+    ``waiting`` lists active hosts in order of priority. ``failed_hosts`` are active
+    hosts that the platform doesn't list as live. ``needed_counts`` is the number of
+    hosts that each pool's demand requires, 0 for pools that are not in it.
     """
 
     hosts: Mapping[str, HostRecord]
@@ -55,7 +55,7 @@
 
 
 class Batch(NamedTuple):
-    """Hosts that may start to drain now, and why each other one waits."""
+    """Hosts that may start to drain now, and why the other waiting hosts can't."""
 
     hosts: tuple[str, ...]
     waits: Mapping[str, HostWait]
@@ -76,13 +76,15 @@
 
 
 def plan_batch(request: BatchRequest) -> Batch:
-    """Chooses hosts that may leave service without breaking a pool's budget.
+    """Chooses hosts that may leave service within the availability budgets of pools.
 
-    All hosts of a pool that are out for maintenance are in one rack. Beyond the hosts
-    that are out, each pool keeps a reserve for the failure of any one further rack.
-    A pool whose budget is as large as a rack takes one host at a time. Where it is
-    smaller, a rack failure breaks the budget whether or not hosts are out, so the
-    budget alone limits the batch.
+    In each pool, hosts of only one rack are in maintenance at a time. Beyond the hosts
+    that are out, each pool's budget keeps a reserve for the failure of any one further
+    rack. If the budget equals the size of a rack, one host at a time is in maintenance.
+    If it is smaller, a rack failure exceeds the budget whether or not other hosts are
+    out, so only the budget limits the batch.
+
+    :returns: the chosen hosts, and why the other waiting hosts can't start.
     """
     chosen: list[str] = []
     waits: dict[str, HostWait] = {}
@@ -125,19 +127,19 @@
 
 
 def _plan_pool(pool: _Pool, waiting: Sequence[HostRecord]) -> Batch:
-    rack = _rack_in_turn(pool, waiting)
+    rack = _current_rack(pool, waiting)
     limit = _limit(pool, rack)
     candidates = [host["host"] for host in waiting if host["rack"] == rack]
     chosen = tuple(candidates[: max(0, limit.count)])
     waits = {name: limit.wait for name in candidates if name not in chosen}
     for host in waiting:
         if host["rack"] != rack:
-            detail = f"rack {rack} of pool {host['pool']} is in turn"
+            detail = f"rack {rack} of pool {host['pool']} is maintained first"
             waits[host["host"]] = HostWait(WaitReason.OTHER_RACK, detail)
     return Batch(chosen, waits)
 
 
-def _rack_in_turn(pool: _Pool, waiting: Sequence[HostRecord]) -> str:
+def _current_rack(pool: _Pool, waiting: Sequence[HostRecord]) -> str:
     if pool.in_maintenance:
         return pool.in_maintenance[0]["rack"]
     return waiting[0]["rack"]
@@ -165,14 +167,14 @@
 def _limit_by_reserve(pool: _Pool, rack: str) -> _Limit:
     allowed_count = allowed_out_count(pool.budget)
     name = pool.budget["pool"]
-    beside_reserve_count = _count_beside_reserve(pool.hosts, rack, allowed_count)
-    if beside_reserve_count < 0:
+    above_reserve_count = _count_above_reserve(pool.hosts, rack, allowed_count)
+    if above_reserve_count < 0:
         return _limit_by_budget(pool)
-    if beside_reserve_count == 0:
-        detail = f"budget of pool {name} is as large as a rack: one host at a time"
+    if above_reserve_count == 0:
+        detail = f"budget of pool {name} equals the size of a rack: one host at a time"
         wait = HostWait(WaitReason.RACK_RESERVE, detail)
         return _Limit(1 - len(pool.in_maintenance), wait)
-    count = _count_beside_reserve(pool.in_service, rack, allowed_count - pool.out_count)
+    count = _count_above_reserve(pool.in_service, rack, allowed_count - pool.out_count)
     detail = (
         f"pool {name} has {pool.out_count} hosts out and keeps a reserve for the "
         f"failure of one rack, at most {allowed_count} are allowed"
@@ -180,12 +182,14 @@
     return _Limit(count, HostWait(WaitReason.RACK_RESERVE, detail))
 
 
-def _count_beside_reserve(
+def _count_above_reserve(
     in_service: Sequence[HostRecord], rack: str, free_count: int
 ) -> int:
     """
-    :param free_count: further hosts that may be out of service.
-    :returns: hosts of ``rack`` that may leave so that any one rack may then fail.
+    :param in_service: hosts of the pool that are in service.
+    :param free_count: number of further hosts that may be out of service.
+    :returns: number of hosts of ``rack`` that may leave service such that any one rack
+        may fail afterwards; negative if the budget is too small for such a failure.
     """
     rack_sizes = Counter(host["rack"] for host in in_service)
     own_size = rack_sizes.pop(rack, 0)
@@ -198,7 +202,7 @@
 def _limit_by_demand(pool: _Pool) -> _Limit:
     detail = (
         f"pool {pool.budget['pool']} has {len(pool.in_service)} hosts in service and "
-        f"its demand needs {pool.needed_count}"
+        f"its demand requires {pool.needed_count}"
     )
     wait = HostWait(WaitReason.DEMAND, detail)
     return _Limit(len(pool.in_service) - pool.needed_count, wait)
--- a/src/sycamorecroft/maintenance/records.py
+++ b/src/sycamorecroft/maintenance/records.py
@@ -1,4 +1,4 @@
-"""Maintenance waves and their progress in table ``maintenance``."""
+"""Records of maintenance waves and their progress in table ``maintenance``."""
 
 import hashlib
 from datetime import datetime
@@ -16,7 +16,7 @@
 
 
 class WaveState(StrEnum):
-    """State of a wave, set by operators and by the controller when it finishes."""
+    """State of a wave, set by operators, or by the controller once it is finished."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -25,7 +25,7 @@
 
 
 class SelectionKind(StrEnum):
-    """What the names of a selection are."""
+    """Kind of object that a selection names."""
 
     RACK = "rack"
     POOL = "pool"
@@ -33,17 +33,17 @@
 
 
 class Selection(NamedTuple):
-    """The hosts that an operator names. Racks and pools are resolved on declaration."""
+    """Hosts selected for a wave. Racks and pools are resolved on declaration."""
 
     kind: SelectionKind
     names: tuple[str, ...]
 
 
 class WaveRecord(TypedDict):
-    """Value of row ``wave/<id>``. ``deadline`` is ISO 8601 with an offset.
+    """Value of row ``wave/<id>``. ``deadline`` is ISO 8601 with an offset from UTC.
 
-    A reboot by another wave counts for this one, except on hosts that were
-    rebooting when the wave was declared.
+    A reboot for another wave also completes this wave for the host, except on
+    ``rebooting_hosts``, which were already rebooting when this wave was declared.
     """
 
     id: str
@@ -57,7 +57,7 @@
 
 
 class HostOutcome(StrEnum):
-    """How a wave ended for a host."""
+    """Outcome of a wave for one host."""
 
     DONE = "done"
     TAKEN_OUT = "taken_out"
@@ -74,7 +74,7 @@
 
 
 class WaveRow(NamedTuple):
-    """A wave and the commit number of its row."""
+    """A wave's record and the version of its row."""
 
     record: WaveRecord
     version: int
@@ -82,28 +82,28 @@
 
 def wave_id_of(idempotency_key: str) -> str:
     """
-    :returns: the id of the wave that is declared with this key.
+    :returns: id of the wave that is declared with this key.
     """
     return hashlib.sha256(idempotency_key.encode()).hexdigest()[:16]
 
 
 def wave_key(wave_id: str) -> str:
     """
-    :returns: the key of the wave's row.
+    :returns: key of the wave's row.
     """
     return f"{WAVE_PREFIX}{wave_id}"
 
 
 def progress_key(wave_id: str, host: str) -> str:
     """
-    :returns: the key of the row that ends the wave for a host.
+    :returns: key of the row that stores the wave's outcome for a host.
     """
     return f"{PROGRESS_PREFIX}{wave_id}/{host}"
 
 
 def deadline_of(record: WaveRecord) -> datetime:
     """
-    :returns: the wave's deadline as an aware ``datetime``.
+    :returns: the wave's deadline as a time-zone-aware ``datetime``.
     """
     return datetime.fromisoformat(record["deadline"])
 
@@ -117,6 +117,7 @@
 
 def decode_wave(row: Row) -> WaveRow:
     """
+    :returns: the wave with the version of its row.
     :raises RecordError: when a known field is missing or malformed.
     """
     return WaveRow(decode_record(row.value or b"", WaveRecord), row.version)
@@ -124,6 +125,7 @@
 
 def decode_progress(row: Row) -> ProgressRecord:
     """
+    :returns: the outcome of a wave for one host.
     :raises RecordError: when a known field is missing or malformed.
     """
     return decode_record(row.value or b"", ProgressRecord)
--- a/src/sycamorecroft/maintenance/situation.py
+++ b/src/sycamorecroft/maintenance/snapshot.py
@@ -1,11 +1,11 @@
-"""Everything that decisions on maintenance depend on, read from the platform."""
+"""Reads the inputs of maintenance decisions from the tables and the host list."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
 from sycamorecroft.clock import Clock
 from sycamorecroft.errors import StoreUnavailableError
-from sycamorecroft.maintenance.failures import FailureReport, FailureWatch
+from sycamorecroft.maintenance.failures import FailureDetector, FailureReport
 from sycamorecroft.maintenance.records import (
     MAINTENANCE_TABLE,
     PROGRESS_PREFIX,
@@ -41,11 +41,11 @@
 _OPEN_STATES = frozenset({WaveState.RUNNING, WaveState.PAUSED})
 
 
-class Situation(NamedTuple):
-    """Waves, hosts and failures at one moment.
+class MaintenanceSnapshot(NamedTuple):
+    """Waves, hosts and failures at one point in time.
 
-    ``outcomes`` maps a wave id to the hosts for which that wave has ended.
-    ``needed_counts`` is the number of hosts that each pool's demand needs.
+    ``outcomes`` maps a wave id to the outcomes of the hosts for which the wave has
+    ended. ``needed_counts`` is the number of hosts that each pool's demand requires.
     """
 
     waves: Mapping[str, WaveRow]
@@ -58,7 +58,7 @@
 
     def open_waves(self) -> tuple[WaveRow, ...]:
         """
-        :returns: running and paused waves, those with the earliest deadline first.
+        :returns: running and paused waves, ordered by deadline.
         """
         waves = [
             wave for wave in self.waves.values() if wave.record["state"] in _OPEN_STATES
@@ -69,14 +69,14 @@
 
     def remaining_hosts(self, wave: WaveRow) -> tuple[str, ...]:
         """
-        :returns: hosts for which the wave has not ended.
+        :returns: hosts of the wave for which it has not ended.
         """
         ended = self.outcomes.get(wave.record["id"], {})
         return tuple(host for host in wave.record["hosts"] if host not in ended)
 
 
-class SituationReader:
-    """Reads the situation without any lease; keeps copies of the tables it needs."""
+class MaintenanceSnapshotReader:
+    """Reads snapshots; needs no lease, and mirrors the tables that it reads."""
 
     def __init__(self, table: TableService, host_list: HostList, clock: Clock) -> None:
         self._table = table
@@ -91,20 +91,21 @@
         self._maintenance = TableMirror(
             table, MAINTENANCE_TABLE, _decode_row, purpose=StorePurpose.POOLS
         )
-        self._failures = FailureWatch()
+        self._failures = FailureDetector()
 
-    def read(self, needed_counts: Mapping[str, int]) -> Situation:
+    def read(self, needed_counts: Mapping[str, int]) -> MaintenanceSnapshot:
         """
-        :param needed_counts: number of hosts that each pool's demand needs.
+        :param needed_counts: number of hosts that each pool's demand requires.
+        :returns: the current snapshot; failures are unknown without the host list.
         :raises StoreUnavailableError: when the tables can't be read.
         """
         for mirror in (self._hosts, self._pools, self._maintenance):
             mirror.refresh()
         hosts = self._hosts.values
-        # Read after the host rows, so that an acknowledgement covers them.
+        # Read after the host rows, so that an acknowledgement covers these rows.
         entries = self._table.scan(ENTRIES_TABLE, purpose=StorePurpose.POOLS).rows
         listing = self._list_hosts()
-        return Situation(
+        return MaintenanceSnapshot(
             waves=_waves(self._maintenance.values.values()),
             outcomes=_outcomes(self._maintenance.values.values()),
             hosts=hosts,
--- a/src/sycamorecroft/maintenance/tests/test_planning.py
+++ b/src/sycamorecroft/maintenance/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""Batches: budgets, racks and the reserve for one further rack failure."""
+"""Batch planning: budgets, racks and the reserve for one further rack failure."""
 
 from hypothesis import given, seed, strategies as st
 
@@ -62,9 +62,9 @@
     return plan_batch(request)
 
 
-def test_small_pool_takes_what_its_budget_allows() -> None:
-    """Guards against a wave that stops in pools too small for a rack in reserve, and
-    against one that takes more than their budget."""
+def test_small_pool_is_limited_by_its_budget() -> None:
+    """Guards against a wave that stalls in pools too small for a rack reserve, or that
+    exceeds their budget."""
     assert _plan(8, 0.25).hosts == ("h0", "h1")
     assert _plan(8, 0.25, states={0: HostState.REBOOTING}).hosts == ("h1",)
     assert _plan(8, 0.25, rack_size=2).hosts == ("h0",)
@@ -74,29 +74,29 @@
     assert batch.waits["h2"].reason == WaitReason.POOL_BUDGET
 
 
-def test_large_pool_takes_hosts_of_one_rack_beside_the_reserve() -> None:
-    """Guards against a batch that leaves no room for a further rack failure."""
+def test_large_pool_keeps_reserve_for_one_rack() -> None:
+    """Guards against a batch that leaves no reserve for a further rack failure."""
     assert _plan(40, 0.2).hosts == ("h0", "h1", "h2", "h3")
     assert _plan(40, 0.15).hosts == ("h0", "h1")
 
 
-def test_next_rack_waits_for_the_rack_in_maintenance() -> None:
-    """Guards against a pool with hosts of two racks out."""
+def test_other_racks_wait_for_rack_in_maintenance() -> None:
+    """Guards against maintenance in two racks of a pool at the same time."""
     batch = _plan(40, 0.2, states={7: HostState.REBOOTING})
     assert batch.hosts == ("h4", "h5", "h6")
     assert batch.waits["h0"].reason == WaitReason.OTHER_RACK
 
 
-def test_failed_hosts_use_up_the_budget() -> None:
-    """Guards against planned work that adds to a rack failure."""
+def test_failed_hosts_count_against_budget() -> None:
+    """Guards against drains that reduce capacity further after a rack failure."""
     batch = _plan(40, 0.2, failed=frozenset({"h36", "h37", "h38", "h39"}))
     assert batch.hosts == ()
     assert batch.waits["h0"].reason == WaitReason.RACK_RESERVE
     assert _plan(8, 0.25, states={4: HostState.OUT, 5: HostState.OUT}).hosts == ()
 
 
-def test_demand_limits_the_batch() -> None:
-    """Guards against maintenance that takes hosts that requests need."""
+def test_demand_limits_batch() -> None:
+    """Guards against maintenance of hosts that the demand requires."""
     batch = _plan(40, 0.2, needed_count=38)
     assert batch.hosts == ("h0", "h1")
     assert batch.waits["h2"].reason == WaitReason.DEMAND
@@ -110,27 +110,28 @@
     st.integers(1, 6),
     st.lists(st.integers(0, 29), max_size=8),
 )
-def test_any_batch_keeps_budget_and_reserve(
+def test_batches_keep_budget_and_reserve(
     hosts_count: int, ratio: float, rack_size: int, out: list[int]
 ) -> None:
-    """Guards against a batch beyond the budget, or without reserve where one fits."""
+    """Guards against a batch beyond the budget or without a reserve that would fit."""
     states = {number: HostState.OUT for number in out if number < hosts_count}
     batch = _plan(hosts_count, ratio, rack_size=rack_size, states=states)
     allowed_count = int(hosts_count * ratio + 1e-9)
-    gone = set(states) | {int(host[1:]) for host in batch.hosts}
+    out_hosts = set(states) | {int(host[1:]) for host in batch.hosts}
     if batch.hosts:
-        assert len(gone) <= allowed_count
+        assert len(out_hosts) <= allowed_count
     assert len({int(host[1:]) // rack_size for host in batch.hosts}) <= 1
     racks_count = -(-hosts_count // rack_size)
     worst_count = max(
-        len(gone | _rack(rack, rack_size, hosts_count)) for rack in range(racks_count)
+        len(out_hosts | _rack_hosts(rack, rack_size, hosts_count))
+        for rack in range(racks_count)
     )
-    # Where one rack is larger than the budget, no batch can keep the reserve.
+    # If a rack is larger than the budget, no batch can keep the reserve.
     largest_rack_count = min(rack_size, hosts_count)
     has_reserve = worst_count <= allowed_count
     assert has_reserve or len(batch.hosts) <= 1 or largest_rack_count > allowed_count
 
 
-def _rack(rack: int, rack_size: int, hosts_count: int) -> set[int]:
+def _rack_hosts(rack: int, rack_size: int, hosts_count: int) -> set[int]:
     first = rack * rack_size
     return set(range(first, min(first + rack_size, hosts_count)))
--- a/src/sycamorecroft/maintenance/waves.py
+++ b/src/sycamorecroft/maintenance/waves.py
@@ -1,4 +1,4 @@
-"""Declarations of maintenance waves by operators."""
+"""Operator calls that declare, read and change maintenance waves."""
 
 from collections.abc import Mapping
 from datetime import datetime
@@ -30,7 +30,7 @@
 CONFLICT_ATTEMPTS_COUNT = 3
 _PURPOSE = StorePurpose.OPERATORS
 
-_ALLOWED_BEFORE: Mapping[WaveState, frozenset[WaveState]] = {
+_ALLOWED_PREVIOUS_STATES: Mapping[WaveState, frozenset[WaveState]] = {
     WaveState.PAUSED: frozenset({WaveState.RUNNING, WaveState.PAUSED}),
     WaveState.RUNNING: frozenset({WaveState.RUNNING, WaveState.PAUSED}),
     WaveState.CANCELLED: frozenset(
@@ -40,7 +40,7 @@
 
 
 class WaveProgress(NamedTuple):
-    """A wave and the hosts for which it has ended."""
+    """A wave and its outcomes by host, for the hosts for which it has ended."""
 
     wave: WaveRow
     outcomes: Mapping[str, HostOutcome]
@@ -53,10 +53,10 @@
 
 
 class WaveStore:
-    """Operator calls on maintenance waves; any daemon may serve them.
+    """Stores waves and changes their state, on any daemon.
 
-    All methods raise :class:`~sycamorecroft.errors.PlatformError` when the store gives
-    no answer; each may be repeated.
+    All methods raise :class:`~sycamorecroft.errors.PlatformError` when the store
+    doesn't respond, and may then be repeated.
     """
 
     def __init__(self, table: TableService, clock: Clock) -> None:
@@ -66,15 +66,17 @@
     def declare(
         self, idempotency_key: str, selection: Selection, deadline: datetime
     ) -> WaveRow:
-        """Declares a wave. The same key declares the same wave once.
+        """Declares a wave. Idempotent: repeating it with the same key has no effect.
 
-        :raises MaintenanceError: when the selection names nothing known, or the key
-            was used for another declaration.
+        :returns: the wave with this key.
+        :raises MaintenanceError: when the selection has no names or an unknown one,
+            the deadline has no offset from UTC, or the key was used for a different
+            declaration.
         """
         wave_id = wave_id_of(idempotency_key)
-        known = self._find(wave_id)
-        if known is not None:
-            return _require_same(known, selection, deadline)
+        existing = self._find(wave_id)
+        if existing is not None:
+            return _require_same_declaration(existing, selection, deadline)
         record = self._new_record(wave_id, selection, deadline)
         key = wave_key(wave_id)
         put = Put(MAINTENANCE_TABLE, key, encode_record(record))
@@ -82,31 +84,35 @@
         try:
             version = transact_resolved(self._table, [check], [put], purpose=_PURPOSE)
         except StoreConflictError:
-            return _require_same(self.read(wave_id), selection, deadline)
+            return _require_same_declaration(self.read(wave_id), selection, deadline)
         return WaveRow(record, version)
 
     def pause(self, wave_id: str) -> WaveRow:
-        """Starts no new drain; drains already started finish.
+        """Pauses the wave: no new drain starts, drains already started finish.
 
+        :returns: the paused wave.
         :raises MaintenanceError: when the wave is unknown or has ended.
         """
         return self._set_state(wave_id, WaveState.PAUSED)
 
     def resume(self, wave_id: str) -> WaveRow:
         """
+        :returns: the running wave.
         :raises MaintenanceError: when the wave is unknown or has ended.
         """
         return self._set_state(wave_id, WaveState.RUNNING)
 
     def cancel(self, wave_id: str) -> WaveRow:
-        """Ends the wave; drains already started finish.
+        """Cancels the wave: no new drain starts, drains already started finish.
 
+        :returns: the cancelled wave.
         :raises MaintenanceError: when the wave is unknown or has finished.
         """
         return self._set_state(wave_id, WaveState.CANCELLED)
 
     def read(self, wave_id: str) -> WaveRow:
         """
+        :returns: the wave as stored.
         :raises MaintenanceError: when the wave is unknown.
         """
         row = self._find(wave_id)
@@ -117,7 +123,7 @@
 
     def waves(self) -> tuple[WaveRow, ...]:
         """
-        :returns: all waves, those with the earliest deadline first.
+        :returns: all waves, including ended ones, ordered by deadline.
         """
         scan = self._table.scan(MAINTENANCE_TABLE, purpose=_PURPOSE, prefix=WAVE_PREFIX)
         waves = [decode_wave(row) for row in scan.rows]
@@ -125,6 +131,7 @@
 
     def progress(self, wave_id: str) -> WaveProgress:
         """
+        :returns: the wave with its outcomes so far.
         :raises MaintenanceError: when the wave is unknown.
         """
         wave = self.read(wave_id)
@@ -143,7 +150,7 @@
         if deadline.tzinfo is None:
             message = f"deadline {deadline.isoformat()} has no offset from UTC; add one"
             raise MaintenanceError(message)
-        hosts = self._select(selection)
+        hosts = self._selected_hosts(selection)
         return WaveRecord(
             id=wave_id,
             selection_kind=selection.kind,
@@ -157,17 +164,17 @@
             state=WaveState.RUNNING,
         )
 
-    def _select(self, selection: Selection) -> list[HostRecord]:
+    def _selected_hosts(self, selection: Selection) -> list[HostRecord]:
         scan = self._table.scan(HOSTS_TABLE, purpose=_PURPOSE)
         hosts = [decode_host(row.value or b"") for row in scan.rows]
-        field = _FIELDS[selection.kind]
+        field = _SELECTION_FIELDS[selection.kind]
         names = frozenset(selection.names)
         unknown = names - {host[field] for host in hosts}
         if unknown or not names:
             message = (
-                f"maintenance names {selection.kind.value} "
-                f"{', '.join(sorted(unknown)) or 'without a name'}, which no "
-                "registered host has; list the hosts"
+                f"the maintenance selection has {selection.kind.value} "
+                f"{', '.join(sorted(unknown)) or 'without a name'}, which matches no "
+                "registered host; list the hosts"
             )
             raise MaintenanceError(message)
         return [host for host in hosts if host[field] in names]
@@ -175,10 +182,10 @@
     def _set_state(self, wave_id: str, state: WaveState) -> WaveRow:
         for _ in range(CONFLICT_ATTEMPTS_COUNT):
             wave = self.read(wave_id)
-            if wave.record["state"] not in _ALLOWED_BEFORE[state]:
+            if wave.record["state"] not in _ALLOWED_PREVIOUS_STATES[state]:
                 message = (
                     f"maintenance wave {wave_id!r} is {wave.record['state'].value} and "
-                    f"can't become {state.value}; declare a new one"
+                    f"can't be set to {state.value}; declare a new one"
                 )
                 raise MaintenanceError(message)
             if wave.record["state"] == state:
@@ -187,7 +194,9 @@
                 return self._write_state(wave, state)
             except StoreConflictError:
                 continue
-        message = f"maintenance wave {wave_id!r} is changed by others; try again"
+        message = (
+            f"maintenance wave {wave_id!r} is being changed by other calls; try again"
+        )
         raise StoreConflictError(message)
 
     def _write_state(self, wave: WaveRow, state: WaveState) -> WaveRow:
@@ -200,14 +209,16 @@
         return WaveRow(record, version)
 
 
-_FIELDS: Mapping[SelectionKind, str] = {
+_SELECTION_FIELDS: Mapping[SelectionKind, str] = {
     SelectionKind.RACK: "rack",
     SelectionKind.POOL: "pool",
     SelectionKind.HOSTS: "host",
 }
 
 
-def _require_same(wave: WaveRow, selection: Selection, deadline: datetime) -> WaveRow:
+def _require_same_declaration(
+    wave: WaveRow, selection: Selection, deadline: datetime
+) -> WaveRow:
     record = wave.record
     declared = Selection(record["selection_kind"], tuple(record["selection_names"]))
     if declared != selection or datetime.fromisoformat(record["deadline"]) != deadline:
