--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -111,7 +111,7 @@
         digests = [d._replace(counter=self._counter) for d in self._peer_digests]
         message = self._peer_codec.encode(self._own, digests)
         self.state.merge(self._codec.decode(self._peer, message), self._counter)
-        self.state.advance(self.state.own)
+        self.state.start_round(self.state.own)
         self.state.view(self._counter)
         answer = self._codec.encode(self._peer, self.state.digests())
         self._peer_codec.decode(self._own, answer)
--- a/src/sycamorecroft/cli/tests/test_configuration_commands.py
+++ b/src/sycamorecroft/cli/tests/test_configuration_commands.py
@@ -15,7 +15,7 @@
 from sycamorecroft.configuration.actor import NO_CONFIGURATION
 from sycamorecroft.entry.application import Application
 from sycamorecroft.entry.operator_interface import OperatorState, OperatorStores
-from sycamorecroft.entry.operators import operator_routes
+from sycamorecroft.entry.operator_routes import operator_routes
 from sycamorecroft.pools.state import HostRecord, HostState, PoolView
 
 SITE = Path(__file__).parents[4] / "deployments" / "ondangwa"
--- a/src/sycamorecroft/cli/tests/test_fleet_commands.py
+++ b/src/sycamorecroft/cli/tests/test_fleet_commands.py
@@ -24,8 +24,8 @@
 from sycamorecroft.entry.callers import CallerHandlers
 from sycamorecroft.entry.jobs import JobHandlers
 from sycamorecroft.entry.operator_interface import OperatorState, OperatorStores
-from sycamorecroft.entry.operators import operator_routes
-from sycamorecroft.entry.request_record import RequestRecords
+from sycamorecroft.entry.operator_routes import operator_routes
+from sycamorecroft.entry.request_records import RequestRecords
 from sycamorecroft.entry.request_report import RequestReporter
 from sycamorecroft.jobs import JobStore
 from sycamorecroft.maintenance import WaveStore
--- a/src/sycamorecroft/daemon/control.py
+++ b/src/sycamorecroft/daemon/controller_manager.py
@@ -10,9 +10,12 @@
 from sycamorecroft.concurrency import PublishedValue
 from sycamorecroft.configuration.actor import ConfigurationStatus
 from sycamorecroft.configuration.fleet import FleetConfiguration
-from sycamorecroft.daemon.controllers import ControllerRunner
-from sycamorecroft.daemon.demand import demand_hosts
-from sycamorecroft.daemon.job_controllers import JobControllers, JobParts
+from sycamorecroft.daemon.controller_runner import ControllerRunner
+from sycamorecroft.daemon.demand import required_hosts
+from sycamorecroft.daemon.job_controllers import (
+    JobControllerDependencies,
+    JobControllers,
+)
 from sycamorecroft.daemon.retention import Retention
 from sycamorecroft.daemon.store import PlatformClients
 from sycamorecroft.errors import PlatformError
@@ -27,7 +30,7 @@
 _STOP_TIMEOUT_S = 1.0
 
 
-class ControlInputs(NamedTuple):
+class ControllerInputs(NamedTuple):
     """Snapshots that the controllers read."""
 
     configuration: PublishedValue[ConfigurationStatus]
@@ -35,7 +38,7 @@
     membership: PublishedValue[MembershipView | None]
 
 
-class Control:
+class ControllerManager:
     """Runs all controllers for which this entry host is a candidate.
 
     :param holder: unique for each start of the daemon.
@@ -44,7 +47,7 @@
     def __init__(
         self,
         platform: PlatformClients,
-        inputs: ControlInputs,
+        inputs: ControllerInputs,
         clock: Clock,
         holder: str,
     ) -> None:
@@ -73,7 +76,7 @@
             ),
         )
         self._leases = (pools_lease, maintenance_lease)
-        self._jobs = JobControllers(self._job_parts(), self._new_lease, clock)
+        self._jobs = JobControllers(self._job_dependencies(), self._new_lease, clock)
 
     def start(self) -> None:
         """Starts all controllers."""
@@ -109,9 +112,9 @@
         tables = self._platform.tables
         return ControllerLease(tables, self._clock, name=name, holder=self._holder)
 
-    def _job_parts(self) -> JobParts:
+    def _job_dependencies(self) -> JobControllerDependencies:
         inputs = self._inputs
-        return JobParts(
+        return JobControllerDependencies(
             self._platform.tables,
             self._platform.tasks,
             self._platform.host_list,
@@ -138,17 +141,17 @@
         if in_force is None:
             return None
         self._pools.configure(in_force.pools)
-        self._pools.observe_demand(self._demand_hosts(in_force))
+        self._pools.observe_demand(self._required_hosts(in_force))
         return self._pools.step()
 
     def _step_maintenance(self) -> object:
         in_force = self._inputs.configuration.get().in_force
         if in_force is not None:
-            demand = self._demand_hosts(in_force)
+            demand = self._required_hosts(in_force)
             needed = {pool: math.ceil(hosts) for pool, hosts in demand.items()}
             self.maintenance.observe_demand(needed)
         return self.maintenance.step(self._clock.now())
 
-    def _demand_hosts(self, configuration: FleetConfiguration) -> dict[str, float]:
+    def _required_hosts(self, configuration: FleetConfiguration) -> dict[str, float]:
         inputs = self._inputs
-        return demand_hosts(configuration, inputs.membership.get(), inputs.view.get())
+        return required_hosts(configuration, inputs.membership.get(), inputs.view.get())
--- a/src/sycamorecroft/daemon/controllers.py
+++ b/src/sycamorecroft/daemon/controller_runner.py
@@ -6,7 +6,7 @@
 import structlog
 
 from sycamorecroft.concurrency import Ticker
-from sycamorecroft.membership.ownership import owners_of
+from sycamorecroft.membership.ownership import rank_owners
 from sycamorecroft.membership.state import MembershipView
 
 _log = structlog.get_logger()
@@ -42,7 +42,7 @@
         self._step = step
         self._is_holder = is_holder
         self._membership = membership
-        self._tried_s = float("-inf")
+        self._last_attempt_s = float("-inf")
         self._ticker = Ticker(f"controller-{name}", STEP_INTERVAL_S, self._run)
 
     def start(self) -> None:
@@ -56,11 +56,11 @@
 
     def _run(self) -> None:
         if self._is_holder() or self._is_due():
-            self._tried_s = time.monotonic()
+            self._last_attempt_s = time.monotonic()
             self._step()
 
     def _is_due(self) -> bool:
-        if time.monotonic() - self._tried_s < ACQUIRE_INTERVAL_S:
+        if time.monotonic() - self._last_attempt_s < ACQUIRE_INTERVAL_S:
             return False
         return is_candidate(self._name, self._membership())
 
@@ -72,4 +72,4 @@
     """
     if view is None:
         return False
-    return view.own_entry in owners_of(name, view.live)[:CANDIDATES_COUNT]
+    return view.own_entry in rank_owners(name, view.live)[:CANDIDATES_COUNT]
--- a/src/sycamorecroft/daemon/demand.py
+++ b/src/sycamorecroft/daemon/demand.py
@@ -8,7 +8,7 @@
 from sycamorecroft.routing.owner_actor import OwnerStatuses
 
 
-def demands_of(statuses: OwnerStatuses) -> tuple[ServiceDemand, ...]:
+def service_demands(statuses: OwnerStatuses) -> tuple[ServiceDemand, ...]:
     """
     :param statuses: queues that this entry host owns.
     :returns: demand on each of them, in slots.
@@ -24,7 +24,7 @@
     )
 
 
-def demand_hosts(
+def required_hosts(
     configuration: FleetConfiguration, membership: MembershipView | None, view: PoolView
 ) -> dict[str, float]:
     """
--- a/src/sycamorecroft/daemon/gauges.py
+++ b/src/sycamorecroft/daemon/gauges.py
@@ -23,7 +23,7 @@
             (metrics.SLOTS_IN_USE, lambda: self._queues("granted_count")),
             (metrics.SLOTS_LIMIT, lambda: self._queues("limit_count")),
             (metrics.WORKERS_EJECTED, lambda: self._queues("ejected_count")),
-            (metrics.REQUESTS_WAITING, self._waiting),
+            (metrics.REQUESTS_WAITING, self._requests_waiting),
             (metrics.HOSTS, self._hosts),
             (metrics.BUDGET_LEFT, lambda: self._pools("budget_left_count")),
             (metrics.HOSTS_MISSING, lambda: self._pools("missing_count")),
@@ -33,10 +33,10 @@
             (metrics.VIEW_VERSION, lambda: _single(self._state.view().version)),
             (metrics.STORE_CONTACT_AGE, self._store_contact_age),
             (metrics.STORE_CALLS, self._store_calls),
-            (metrics.ENTRY_HOSTS_REACHED, self._entries_reached),
-            (metrics.ENTRY_HOSTS_EXPECTED, self._entries_expected),
+            (metrics.ENTRY_HOSTS_REACHED, self._entry_hosts_reached),
+            (metrics.ENTRY_HOSTS_EXPECTED, self._entry_hosts_expected),
             (metrics.REQUESTS_ADMITTED, lambda: _single(self._state.admitted_count())),
-            (metrics.LEASES_HELD, self._leases),
+            (metrics.LEASES_HELD, self._leases_held),
         ):
             telemetry.observe(metric, reader)
 
@@ -44,7 +44,7 @@
         for service, status in self._state.queues().items():
             yield MetricValue(getattr(status, field), {"service": service})
 
-    def _waiting(self) -> Iterable[MetricValue]:
+    def _requests_waiting(self) -> Iterable[MetricValue]:
         for service, status in self._state.queues().items():
             for urgency, count in status.waiting_counts.items():
                 attributes = {"service": service, "urgency": urgency.value}
@@ -83,15 +83,15 @@
             }
             yield MetricValue(count, attributes)
 
-    def _entries_reached(self) -> Iterable[MetricValue]:
+    def _entry_hosts_reached(self) -> Iterable[MetricValue]:
         membership = self._state.membership()
         return _single(len(membership.reached) if membership else 0)
 
-    def _entries_expected(self) -> Iterable[MetricValue]:
+    def _entry_hosts_expected(self) -> Iterable[MetricValue]:
         membership = self._state.membership()
         return _single(membership.expected_count if membership else 0)
 
-    def _leases(self) -> Iterable[MetricValue]:
+    def _leases_held(self) -> Iterable[MetricValue]:
         for name in self._state.held_leases():
             yield MetricValue(1, {"controller": name})
 
--- a/src/sycamorecroft/daemon/job_controllers.py
+++ b/src/sycamorecroft/daemon/job_controllers.py
@@ -8,7 +8,7 @@
 from sycamorecroft.clock import Clock
 from sycamorecroft.concurrency import Ticker
 from sycamorecroft.configuration.fleet import FleetConfiguration
-from sycamorecroft.daemon.controllers import ACQUIRE_INTERVAL_S, is_candidate
+from sycamorecroft.daemon.controller_runner import ACQUIRE_INTERVAL_S, is_candidate
 from sycamorecroft.errors import PlatformError
 from sycamorecroft.jobs import JobController, PoolWorkers
 from sycamorecroft.leases.lease import ControllerLease
@@ -27,7 +27,7 @@
 _log = structlog.get_logger()
 
 
-class JobParts(NamedTuple):
+class JobControllerDependencies(NamedTuple):
     """What job controllers need of a daemon. The callables never block."""
 
     tables: TableService
@@ -38,18 +38,18 @@
     membership: Callable[[], MembershipView | None]
 
 
-class _PoolJobs:
+class _PoolController:
     """Controller of one pool with its lease."""
 
     def __init__(self, controller: JobController, lease: ControllerLease) -> None:
         self.controller = controller
         self.lease = lease
-        self._tried_s = float("-inf")
+        self._last_attempt_s = float("-inf")
 
     def step(self, now_s: float) -> None:
         """Renews or acquires the lease when that is due, and does one round."""
-        if self.lease.is_held or now_s - self._tried_s >= ACQUIRE_INTERVAL_S:
-            self._tried_s = now_s
+        if self.lease.is_held or now_s - self._last_attempt_s >= ACQUIRE_INTERVAL_S:
+            self._last_attempt_s = now_s
             try:
                 self.lease.maintain()
             except PlatformError as error:
@@ -82,15 +82,15 @@
 
     def __init__(
         self,
-        parts: JobParts,
+        dependencies: JobControllerDependencies,
         new_lease: Callable[[str], ControllerLease],
         clock: Clock,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._new_lease = new_lease
         self._clock = clock
-        self._listing = _ListingCache(parts.host_list, clock)
-        self._pools: dict[str, _PoolJobs] = {}
+        self._listing = _ListingCache(dependencies.host_list, clock)
+        self._pools: dict[str, _PoolController] = {}
         self._ticker = Ticker("jobs", STEP_INTERVAL_S, self._step)
 
     def start(self) -> None:
@@ -110,53 +110,57 @@
         """
         :returns: leases of the pools for which this daemon was a candidate.
         """
-        return tuple(jobs.lease for jobs in tuple(self._pools.values()))
+        return tuple(
+            pool_controller.lease for pool_controller in tuple(self._pools.values())
+        )
 
     def busy_workers(self) -> frozenset[str]:
         """
         :returns: workers on which a controller held here may have a task running.
         """
         busy = (
-            jobs.controller.busy_workers()
-            for jobs in tuple(self._pools.values())
-            if jobs.lease.is_held
+            pool_controller.controller.busy_workers()
+            for pool_controller in tuple(self._pools.values())
+            if pool_controller.lease.is_held
         )
         return frozenset().union(*busy)
 
     def _step(self) -> None:
-        configuration = self._parts.configuration()
+        configuration = self._dependencies.configuration()
         if configuration is None:
             return
         for pool in configuration.pools:
-            jobs = self._jobs_of(pool)
+            pool_controller = self._controller_of(pool)
             name = _lease_name(pool)
-            if jobs.lease.is_held or is_candidate(name, self._parts.membership()):
-                jobs.step(self._clock.monotonic_s())
+            if pool_controller.lease.is_held or is_candidate(
+                name, self._dependencies.membership()
+            ):
+                pool_controller.step(self._clock.monotonic_s())
 
-    def _jobs_of(self, pool: str) -> _PoolJobs:
+    def _controller_of(self, pool: str) -> _PoolController:
         if pool not in self._pools:
-            self._pools[pool] = self._new_jobs(pool)
+            self._pools[pool] = self._new_controller(pool)
         return self._pools[pool]
 
-    def _new_jobs(self, pool: str) -> _PoolJobs:
-        parts = self._parts
+    def _new_controller(self, pool: str) -> _PoolController:
+        dependencies = self._dependencies
         lease = self._new_lease(_lease_name(pool))
         workers = PoolWorkers(
-            pool, pool_view=parts.view, host_listing=self._listing.get
+            pool, pool_view=dependencies.view, host_listing=self._listing.get
         )
         controller = JobController(
             pool,
-            tables=parts.tables,
-            tasks=parts.tasks,
+            tables=dependencies.tables,
+            tasks=dependencies.tasks,
             lease=lease,
             workers=workers,
             configuration=self._require_configuration,
             clock=self._clock,
         )
-        return _PoolJobs(controller, lease)
+        return _PoolController(controller, lease)
 
     def _require_configuration(self) -> FleetConfiguration:
-        configuration = self._parts.configuration()
+        configuration = self._dependencies.configuration()
         assert configuration is not None
         return configuration
 
--- a/src/sycamorecroft/daemon/main.py
+++ b/src/sycamorecroft/daemon/main.py
@@ -15,7 +15,7 @@
 from sycamorecroft.settings import load_settings
 
 EXIT_OK = 0
-EXIT_CUT_OFF = 1
+EXIT_REQUESTS_ABORTED = 1
 EXIT_SETTINGS = 2
 _CHECK_INTERVAL_S = 0.5
 
@@ -32,23 +32,23 @@
     :param settings: settings file, JSON with comments.
     """
     try:
-        checked = load_settings(settings)
+        loaded = load_settings(settings)
     except SettingsError as error:
         print(error, file=sys.stderr)
         return EXIT_SETTINGS
-    configure_logs(checked.log_level, checked.entry)
+    configure_logs(loaded.log_level, loaded.entry)
     stop = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop.set())
     try:
-        daemon = Daemon(checked, SystemClock())
+        daemon = Daemon(loaded, SystemClock())
     except (OSError, RuntimeError) as error:
         structlog.get_logger().error("listener_failed", error=str(error))
         return EXIT_SETTINGS
     daemon.start()
     while not stop.wait(_CHECK_INTERVAL_S) and not daemon.superseded.is_set():
         pass
-    return EXIT_OK if daemon.stop() else EXIT_CUT_OFF
+    return EXIT_OK if daemon.stop() else EXIT_REQUESTS_ABORTED
 
 
 def main() -> None:
--- a/src/sycamorecroft/daemon/peers.py
+++ b/src/sycamorecroft/daemon/peers.py
@@ -10,7 +10,7 @@
 from sycamorecroft.configuration.codec import decode_configuration, encode_configuration
 from sycamorecroft.configuration.gate import PeerSnapshot
 from sycamorecroft.errors import ConfigurationError
-from sycamorecroft.membership.actor import CheckPeer, GossipReceived
+from sycamorecroft.membership.actor import GossipReceived, ProbePeer
 from sycamorecroft.membership.state import MemberDigest
 from sycamorecroft.pools.state import PoolView
 from sycamorecroft.pools.view_actor import ViewPeers, decode_view, encode_view
@@ -22,7 +22,7 @@
 _GOSSIP_ANSWER_TIMEOUT_S = 0.25
 
 
-class SnapshotPeers(ConfigurationPeers, ViewPeers):
+class PeerSnapshotSource(ConfigurationPeers, ViewPeers):
     """Fetches configurations and pool views from peers."""
 
     def __init__(self, clients: Mapping[str, PeerClient]) -> None:
@@ -55,7 +55,7 @@
             return None
 
 
-class HandlerActors(NamedTuple):
+class PeerHandlerActors(NamedTuple):
     """Actors that take what peers send."""
 
     membership: pykka.ActorRef
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        actors: HandlerActors,
+        actors: PeerHandlerActors,
         configuration: Callable[[], ConfigurationStatus],
         view: Callable[[], PoolView],
         wake: Callable[[], object],
@@ -109,8 +109,8 @@
     def receive_from_owner(self, owner: str, batch: OwnerBatch) -> None:
         self._actors.requester.tell(FromOwner(owner, batch))
 
-    def stream_opened(self, owner: str) -> None:
+    def on_stream_opened(self, owner: str) -> None:
         self._actors.requester.tell(StreamOpened(owner))
 
-    def stream_broken(self, owner: str) -> None:
-        self._actors.membership.tell(CheckPeer(owner))
+    def on_stream_broken(self, owner: str) -> None:
+        self._actors.membership.tell(ProbePeer(owner))
--- a/src/sycamorecroft/daemon/registration.py
+++ b/src/sycamorecroft/daemon/registration.py
@@ -16,7 +16,7 @@
 _log = structlog.get_logger()
 
 REGISTRATION_INTERVAL_S = 2.0
-REGISTERED_INTERVAL_S = 3.0
+REGISTRATIONS_READ_INTERVAL_S = 3.0
 
 
 class GrantReport(NamedTuple):
@@ -44,13 +44,13 @@
         grants: Callable[[], GrantReport],
         view: Callable[[], PoolView],
         staged_version: Callable[[], int],
-        superseded: Callable[[], None],
+        on_superseded: Callable[[], None],
     ) -> None:
         self._registration = registration
         self._grants = grants
         self._view = view
         self._staged_version = staged_version
-        self._superseded = superseded
+        self._on_superseded = on_superseded
 
     def report(self) -> None:
         """Writes the row of this entry host; a failure is left to the next call."""
@@ -66,7 +66,7 @@
             )
         except NotLeaseHolderError as error:
             _log.error("registration_superseded", error=str(error))
-            self._superseded()
+            self._on_superseded()
         except PlatformError as error:
             _log.info("registration_not_written", error=str(error))
 
@@ -76,7 +76,7 @@
     return record is not None and record["state"] == HostState.ACTIVE
 
 
-def registered_entries(table: TableService, now: datetime) -> frozenset[str] | None:
+def registered_entry_hosts(table: TableService, now: datetime) -> frozenset[str] | None:
     """
     :param now: wall time.
     :returns: entry hosts whose registration hasn't expired; ``None`` if the store
--- a/src/sycamorecroft/daemon/routing_ticks.py
+++ b/src/sycamorecroft/daemon/routing_ticker.py
@@ -12,10 +12,10 @@
 IDLE_INTERVAL_S = 0.5
 # After a wake-up, ticks stay frequent for this long: the message that woke may wait in
 # the mailbox of an actor, so that nothing is known to be busy yet.
-AWAKE_S = 1.0
+WAKE_DURATION_S = 1.0
 
 
-class RoutingTicks:
+class RoutingTicker:
     """Calls an action often while requests are under way, and rarely at rest.
 
     :param tick: sends the ticks; must not block.
@@ -27,8 +27,8 @@
     ) -> None:
         self._tick = tick
         self._is_busy = is_busy
-        self._awake = threading.Event()
-        self._stopped = False
+        self._wake_event = threading.Event()
+        self._is_stopped = False
         self._thread = threading.Thread(target=self._run, name="routing", daemon=True)
 
     def start(self) -> None:
@@ -37,27 +37,27 @@
 
     def stop(self) -> None:
         """Ends the ticks without waiting for one that runs."""
-        self._stopped = True
-        self._awake.set()
+        self._is_stopped = True
+        self._wake_event.set()
 
     def wake(self) -> None:
         """Makes ticks frequent at once; callable from any thread, and cheap."""
-        if not self._awake.is_set():
-            self._awake.set()
+        if not self._wake_event.is_set():
+            self._wake_event.set()
 
     def _run(self) -> None:
-        awake_until_s = 0.0
-        while not self._stopped:
-            if self._awake.is_set():
-                self._awake.clear()
-                awake_until_s = time.monotonic() + AWAKE_S
-            self._call()
-            if self._is_busy() or time.monotonic() < awake_until_s:
+        frequent_until_s = 0.0
+        while not self._is_stopped:
+            if self._wake_event.is_set():
+                self._wake_event.clear()
+                frequent_until_s = time.monotonic() + WAKE_DURATION_S
+            self._call_tick()
+            if self._is_busy() or time.monotonic() < frequent_until_s:
                 time.sleep(BUSY_INTERVAL_S)
             else:
-                self._awake.wait(IDLE_INTERVAL_S)
+                self._wake_event.wait(IDLE_INTERVAL_S)
 
-    def _call(self) -> None:
+    def _call_tick(self) -> None:
         try:
             self._tick()
         except Exception:
--- a/src/sycamorecroft/daemon/runtime.py
+++ b/src/sycamorecroft/daemon/runtime.py
@@ -19,36 +19,40 @@
 from sycamorecroft.configuration.fleet import FleetConfiguration
 from sycamorecroft.configuration.gate import VersionGate
 from sycamorecroft.configuration.store import ConfigurationStore
-from sycamorecroft.daemon.control import Control, ControlInputs
-from sycamorecroft.daemon.demand import demands_of
+from sycamorecroft.daemon.controller_manager import ControllerInputs, ControllerManager
+from sycamorecroft.daemon.demand import service_demands
 from sycamorecroft.daemon.gauges import Gauges
 from sycamorecroft.daemon.operator_stores import operator_stores
-from sycamorecroft.daemon.peers import DaemonPeerHandler, HandlerActors, SnapshotPeers
+from sycamorecroft.daemon.peers import (
+    DaemonPeerHandler,
+    PeerHandlerActors,
+    PeerSnapshotSource,
+)
 from sycamorecroft.daemon.registration import (
-    REGISTERED_INTERVAL_S,
     REGISTRATION_INTERVAL_S,
+    REGISTRATIONS_READ_INTERVAL_S,
     GrantReport,
     RegistrationReporter,
     new_incarnation,
-    registered_entries,
+    registered_entry_hosts,
 )
 from sycamorecroft.daemon.request_path import build_request_path
-from sycamorecroft.daemon.routing_ticks import RoutingTicks
+from sycamorecroft.daemon.routing_ticker import RoutingTicker
 from sycamorecroft.daemon.store import connect_platform
 from sycamorecroft.entry.application import Application, Readiness
 from sycamorecroft.entry.callers import CallerHandlers
 from sycamorecroft.entry.jobs import JobHandlers
 from sycamorecroft.entry.operator_interface import OperatorState
-from sycamorecroft.entry.operators import operator_routes
-from sycamorecroft.entry.request_record import RequestRecords
+from sycamorecroft.entry.operator_routes import operator_routes
+from sycamorecroft.entry.request_records import RequestRecords
 from sycamorecroft.entry.request_report import RequestReporter
-from sycamorecroft.entry.server import EntryServer
+from sycamorecroft.entry.server import HttpServer
 from sycamorecroft.jobs import JobStore
 from sycamorecroft.membership.actor import (
-    CheckPeer,
     GossipTick,
+    LocalVersions,
     MembershipActor,
-    OwnVersions,
+    ProbePeer,
     SetRegistered,
     StartLeaving,
 )
@@ -110,11 +114,11 @@
         self._queues = PublishedValue[OwnerStatuses]({})
         self._incarnation = new_incarnation(clock.now())
         self._telemetry = Telemetry()
-        self._requests = RequestRecords(clock)
+        self._request_records = RequestRecords(clock)
         self._platform = connect_platform(settings, clock)
         self._build_peers()
         self._build_actors()
-        self._build_requests()
+        self._build_request_path()
         self._build_controllers()
         self._build_servers()
         self._build_tickers()
@@ -123,7 +127,7 @@
         own = self._settings.entry
         self._rpc = RpcLoop()
         self._gossip = GossipCodec(own)
-        self._clients = {
+        self._peer_clients = {
             entry.name: PeerClient(
                 self._rpc,
                 own,
@@ -136,18 +140,18 @@
             if entry.name != own
         }
         self._outboxes = OwnerOutboxes(self._rpc)
-        self._snapshots = SnapshotPeers(self._clients)
+        self._snapshots = PeerSnapshotSource(self._peer_clients)
 
     def _build_actors(self) -> None:
         settings = self._settings
-        self._requester = RequesterActor.start(
-            settings.entry, self._clock, self._send_to_owner, self._check_peer
+        self._requester_actor = RequesterActor.start(
+            settings.entry, self._clock, self._send_to_owner, self._request_probe
         )
-        self._owner = OwnerActor.start(
-            self._clock, self._send_to_requester, self._check_peer, self._queues
+        self._owner_actor = OwnerActor.start(
+            self._clock, self._send_to_requester, self._request_probe, self._queues
         )
-        self._owner_is_busy = self._owner.proxy().is_busy.get()
-        self._routing_ticks = RoutingTicks(self._tick_routing, self._is_routing_busy)
+        self._owner_is_busy = self._owner_actor.proxy().is_busy.get()
+        self._routing_ticker = RoutingTicker(self._tick_routing, self._is_routing_busy)
         entries = [entry.name for entry in settings.entries]
         digest = MemberDigest(
             settings.entry, self._incarnation, 0, 0, 0, 0, _NO_CONTACT_AGE_MS, False
@@ -158,53 +162,57 @@
             entry=settings.entry,
             incarnation=self._incarnation,
         )
-        self._members = MembershipActor.start(
+        self._membership_actor = MembershipActor.start(
             MembershipState(digest, entries),
-            self._clients,
+            self._peer_clients,
             self._clock,
-            self._own_versions,
+            self._local_versions,
             self._membership,
-            self._membership_changed,
+            self._on_membership_changed,
             random.Random(),
         )
-        self._configurations = ConfigurationActor.start(
+        self._configuration_actor = ConfigurationActor.start(
             VersionGate(settings.entry, entries),
             ConfigurationStore(self._platform.tables, self._clock),
             self._snapshots,
             self._configuration,
-            self._configuration_changed,
+            self._on_configuration_changed,
         )
-        self._views = ViewActor.start(
+        self._view_actor = ViewActor.start(
             PoolViewReader(self._platform.tables),
             self._snapshots,
             self._view,
-            self._view_changed,
+            self._on_view_changed,
         )
-        self._changed_view_version = self._views.proxy().changed_version.get()
+        self._changed_view_version = self._view_actor.proxy().changed_version.get()
 
-    def _build_requests(self) -> None:
-        self._path = build_request_path(
+    def _build_request_path(self) -> None:
+        self._request_path = build_request_path(
             self._settings,
             self._platform,
-            self._requester,
+            self._requester_actor,
             self._clock,
-            self._routing_ticks.wake,
+            self._routing_ticker.wake,
         )
 
     def _build_controllers(self) -> None:
-        inputs = ControlInputs(self._configuration, self._view, self._membership)
+        inputs = ControllerInputs(self._configuration, self._view, self._membership)
         holder = f"{self._settings.entry}/{self._incarnation}"
-        self._control = Control(self._platform, inputs, self._clock, holder)
+        self._controllers = ControllerManager(
+            self._platform, inputs, self._clock, holder
+        )
         self._job_store = JobStore(self._platform.tables, self._clock)
 
     def _build_servers(self) -> None:
         settings = self._settings
-        actors = HandlerActors(self._members, self._owner, self._requester)
+        actors = PeerHandlerActors(
+            self._membership_actor, self._owner_actor, self._requester_actor
+        )
         self._peer_handler = DaemonPeerHandler(
             actors,
             self._configuration.get,
             self._view.get,
-            self._routing_ticks.wake,
+            self._routing_ticker.wake,
         )
         self._peer_server = PeerServer(
             self._rpc,
@@ -215,18 +223,18 @@
             self._gossip,
         )
         callers = CallerHandlers(
-            self._path.executor,
-            self._path.limit,
+            self._request_path.executor,
+            self._request_path.limit,
             lambda: self._configuration.get().in_force,
             self._clock,
-            RequestReporter(self._telemetry, self._requests, self._clock),
+            RequestReporter(self._telemetry, self._request_records, self._clock),
         )
         jobs = JobHandlers(
             self._job_store, lambda: self._configuration.get().in_force, self._clock
         )
         state = self._operator_state()
         stores = operator_stores(
-            self._platform, self._clock, self._control.maintenance, self._job_store
+            self._platform, self._clock, self._controllers.maintenance, self._job_store
         )
         Gauges(state, self._platform.tables).register(self._telemetry)
         routes = (
@@ -237,7 +245,7 @@
         application = Application(
             routes, self, self._telemetry, settings.operator_token
         )
-        self._server = EntryServer(application, settings)
+        self._http_server = HttpServer(application, settings)
 
     def _operator_state(self) -> OperatorState:
         return OperatorState(
@@ -246,9 +254,9 @@
             self._membership.get,
             self._queues.get,
             self._platform.tables.health,
-            lambda: self._path.limit.admitted_count,
-            self._control.held_leases,
-            self._requests,
+            lambda: self._request_path.limit.admitted_count,
+            self._controllers.held_leases,
+            self._request_records,
         )
 
     def _build_tickers(self) -> None:
@@ -258,34 +266,39 @@
             grants=self._grant_report,
             view=self._view.get,
             staged_version=lambda: self._configuration.get().staged_version,
-            superseded=self.superseded.set,
+            on_superseded=self.superseded.set,
         )
 
         poll_s = settings.poll_interval_s
         self._tickers = (
             message_ticker(
-                "gossip", settings.gossip_interval_s, self._members, GossipTick()
+                "gossip",
+                settings.gossip_interval_s,
+                self._membership_actor,
+                GossipTick(),
             ),
             message_ticker(
-                "configuration", poll_s, self._configurations, PollConfiguration()
+                "configuration", poll_s, self._configuration_actor, PollConfiguration()
             ),
-            message_ticker("view", poll_s, self._views, PollView()),
+            message_ticker("view", poll_s, self._view_actor, PollView()),
             Ticker("registration", REGISTRATION_INTERVAL_S, reporter.report),
-            Ticker("registered", REGISTERED_INTERVAL_S, self._tell_registered),
+            Ticker(
+                "registered", REGISTRATIONS_READ_INTERVAL_S, self._update_registered
+            ),
         )
 
     def start(self) -> None:
         """Starts all parts; the HTTP listener comes last."""
-        self._path.claims.start()
+        self._request_path.claims.start()
         self._job_store.start()
         self._peer_server.start()
-        for client in self._clients.values():
+        for client in self._peer_clients.values():
             client.start(self._peer_handler)
-        self._routing_ticks.start()
+        self._routing_ticker.start()
         for ticker in self._tickers:
             ticker.start()
-        self._control.start()
-        self._server.start()
+        self._controllers.start()
+        self._http_server.start()
         _log.info("daemon_started", incarnation=self._incarnation)
 
     def stop(self) -> bool:
@@ -294,27 +307,27 @@
         :returns: whether no request was cut off.
         """
         self._stopping.set()
-        self._server.begin_stop()
-        self._members.tell(StartLeaving())
+        self._http_server.start_shutdown()
+        self._membership_actor.tell(StartLeaving())
         _log.info("daemon_stopping", grace_s=self._settings.drain_grace_s)
-        self._control.stop()
+        self._controllers.stop()
         time.sleep(self._settings.drain_grace_s)
-        is_drained = self._server.stop(_STOP_TIMEOUT_S)
-        self._path.claims.stop()
+        is_drained = self._http_server.stop(_STOP_TIMEOUT_S)
+        self._request_path.claims.stop()
         self._job_store.stop()
-        self._stop_parts()
+        self._stop_components()
         _log.info("daemon_stopped", is_drained=is_drained)
         return is_drained
 
-    def _stop_parts(self) -> None:
-        self._routing_ticks.stop()
+    def _stop_components(self) -> None:
+        self._routing_ticker.stop()
         for ticker in self._tickers:
             ticker.stop()
-        for client in self._clients.values():
+        for client in self._peer_clients.values():
             client.stop()
         self._peer_server.stop(grace_s=0.1)
         self._rpc.stop()
-        self._path.dispatcher.close()
+        self._request_path.dispatcher.close()
         pykka.ActorRegistry.stop_all(timeout=_ACTOR_TIMEOUT_S)
         self._platform.connection.close()
         self._telemetry.shutdown()
@@ -333,68 +346,72 @@
 
     def _send_to_owner(self, owner: str, batch: RequesterBatch) -> None:
         if owner == self._settings.entry:
-            self._owner.tell(batch)
-        elif owner in self._clients:
-            self._clients[owner].send(batch)
+            self._owner_actor.tell(batch)
+        elif owner in self._peer_clients:
+            self._peer_clients[owner].send(batch)
 
     def _send_to_requester(self, requester: str, batch: OwnerBatch) -> None:
         if requester == self._settings.entry:
-            self._requester.tell(FromOwner(requester, batch))
+            self._requester_actor.tell(FromOwner(requester, batch))
         else:
             self._outboxes.send(requester, batch)
 
-    def _check_peer(self, entry: str) -> None:
-        self._members.tell(CheckPeer(entry))
+    def _request_probe(self, entry: str) -> None:
+        self._membership_actor.tell(ProbePeer(entry))
 
-    def _own_versions(self) -> OwnVersions:
+    def _local_versions(self) -> LocalVersions:
         configuration = self._configuration.get()
         age_s = self._platform.tables.health().contact_age_s
         age_ms = _NO_CONTACT_AGE_MS if age_s is None else int(age_s * 1000)
-        return OwnVersions(
+        return LocalVersions(
             configuration.staged_version,
             configuration.in_force_version,
             self._changed_view_version.get(),
             min(age_ms, _NO_CONTACT_AGE_MS),
             self._registration.may_own_queues(self._view.get().version),
-            demands_of(self._queues.get()),
+            service_demands(self._queues.get()),
         )
 
     def _is_routing_busy(self) -> bool:
-        return bool(self._path.limit.admitted_count or self._owner_is_busy.get())
+        return bool(
+            self._request_path.limit.admitted_count or self._owner_is_busy.get()
+        )
 
     def _tick_routing(self) -> None:
-        self._owner.tell(OwnerTick())
-        self._requester.tell(RequesterTick())
+        self._owner_actor.tell(OwnerTick())
+        self._requester_actor.tell(RequesterTick())
 
-    def _membership_changed(self, view: MembershipView) -> None:
+    def _on_membership_changed(self, view: MembershipView) -> None:
         peers = [d for d in view.digests if d.entry != view.own_entry]
         changed = MembershipChanged(view)
         # A change may start takeovers, whose waits are short.
-        self._routing_ticks.wake()
-        self._owner.tell(changed)
-        self._requester.tell(changed)
+        self._routing_ticker.wake()
+        self._owner_actor.tell(changed)
+        self._requester_actor.tell(changed)
         staged = {digest.entry: digest.staged_version for digest in peers}
-        self._configurations.tell(StagedVersions(staged))
+        self._configuration_actor.tell(StagedVersions(staged))
         views = {digest.entry: digest.view_version for digest in peers}
-        self._views.tell(PeerViewVersions(views))
+        self._view_actor.tell(PeerViewVersions(views))
 
-    def _configuration_changed(self, configuration: FleetConfiguration) -> None:
-        self._path.limit.set_services_count(len(configuration.services))
+    def _on_configuration_changed(self, configuration: FleetConfiguration) -> None:
+        self._request_path.limit.set_services_count(len(configuration.services))
         changed = ConfigurationChanged(configuration)
-        self._routing_ticks.wake()
-        self._owner.tell(changed)
-        self._requester.tell(changed)
+        self._routing_ticker.wake()
+        self._owner_actor.tell(changed)
+        self._requester_actor.tell(changed)
 
-    def _view_changed(self, view: PoolView) -> None:
-        self._owner.tell(ViewChanged(view))
+    def _on_view_changed(self, view: PoolView) -> None:
+        self._owner_actor.tell(ViewChanged(view))
 
     def _grant_report(self) -> GrantReport:
-        granted = self._owner.ask(GrantedHostsRequest(), timeout=_ACTOR_TIMEOUT_S)
-        held = self._requester.ask(RequesterStatusRequest(), timeout=_ACTOR_TIMEOUT_S)
-        hosts = granted.hosts | held.granted_hosts | self._control.busy_workers()
+        granted = self._owner_actor.ask(GrantedHostsRequest(), timeout=_ACTOR_TIMEOUT_S)
+        held = self._requester_actor.ask(
+            RequesterStatusRequest(), timeout=_ACTOR_TIMEOUT_S
+        )
+        hosts = granted.hosts | held.granted_hosts | self._controllers.busy_workers()
         return GrantReport(granted.view_version, hosts)
 
-    def _tell_registered(self) -> None:
-        entries = registered_entries(self._platform.tables, self._clock.now())
+    def _update_registered(self) -> None:
+        entries = registered_entry_hosts(self._platform.tables, self._clock.now())
         if entries is not None:
-            self._members.tell(SetRegistered(entries))
+            self._membership_actor.tell(SetRegistered(entries))
--- a/src/sycamorecroft/daemon/store.py
+++ b/src/sycamorecroft/daemon/store.py
@@ -20,7 +20,7 @@
 
 # Work that few daemons do at a time needs more than an equal share: controllers run
 # on the holders of their leases, and an operator calls one daemon.
-_SHARES = {
+_BUDGET_SHARES = {
     StorePurpose.POOLS: 0.5,
     StorePurpose.LEASES: 0.4,
     StorePurpose.JOBS: 0.4,
@@ -46,7 +46,9 @@
     """
     address = urlsplit(settings.platform_url).netloc
     connection = PlatformConnection(address, timeout_s=settings.store_timeout_s)
-    budget = StoreBudget(1 / len(settings.entries), clock.monotonic_s(), shares=_SHARES)
+    budget = StoreBudget(
+        1 / len(settings.entries), clock.monotonic_s(), shares=_BUDGET_SHARES
+    )
     tables = GuardedTableService(
         HttpTableService(connection),
         budget=budget,
--- a/src/sycamorecroft/entry/application.py
+++ b/src/sycamorecroft/entry/application.py
@@ -40,7 +40,7 @@
 _JSON = "application/json"
 
 
-class Answer(NamedTuple):
+class HandlerResponse(NamedTuple):
     """Answer of a handler; ``outcome`` and ``reason`` go into headers."""
 
     status: int
@@ -60,7 +60,7 @@
     outcome: str | None = None
 
 
-Handler = Callable[..., Answer]
+Handler = Callable[..., HandlerResponse]
 
 
 class Route(NamedTuple):
@@ -81,7 +81,7 @@
         """
 
 
-class ErrorRule(NamedTuple):
+class ErrorMapping(NamedTuple):
     """How an error is reported to the caller."""
 
     status: int
@@ -90,41 +90,41 @@
 
 
 # The first class that matches decides.
-_ERROR_RULES: tuple[tuple[type[SycamorecroftError], ErrorRule], ...] = (
-    (RequestError, ErrorRule(400, "bad_request", Outcome.NOT_RUN)),
-    (ConfigurationConflictError, ErrorRule(409, "conflict", Outcome.NOT_RUN)),
-    (ConfigurationError, ErrorRule(422, "configuration", Outcome.NOT_RUN)),
-    (PoolOperationError, ErrorRule(422, "not_allowed", Outcome.NOT_RUN)),
-    (MaintenanceError, ErrorRule(422, "not_allowed", Outcome.NOT_RUN)),
-    (StoreConflictError, ErrorRule(409, "conflict", Outcome.NOT_RUN)),
-    (StoreUnavailableError, ErrorRule(503, "store_unavailable", Outcome.NOT_RUN)),
+_ERROR_MAPPINGS: tuple[tuple[type[SycamorecroftError], ErrorMapping], ...] = (
+    (RequestError, ErrorMapping(400, "bad_request", Outcome.NOT_RUN)),
+    (ConfigurationConflictError, ErrorMapping(409, "conflict", Outcome.NOT_RUN)),
+    (ConfigurationError, ErrorMapping(422, "configuration", Outcome.NOT_RUN)),
+    (PoolOperationError, ErrorMapping(422, "not_allowed", Outcome.NOT_RUN)),
+    (MaintenanceError, ErrorMapping(422, "not_allowed", Outcome.NOT_RUN)),
+    (StoreConflictError, ErrorMapping(409, "conflict", Outcome.NOT_RUN)),
+    (StoreUnavailableError, ErrorMapping(503, "store_unavailable", Outcome.NOT_RUN)),
     (
         StoreOutcomeUnknownError,
-        ErrorRule(504, "store_outcome_unknown", Outcome.UNKNOWN),
+        ErrorMapping(504, "store_outcome_unknown", Outcome.UNKNOWN),
     ),
 )
-_INTERNAL_ERROR = ErrorRule(500, "internal", Outcome.UNKNOWN)
+_INTERNAL_ERROR = ErrorMapping(500, "internal", Outcome.UNKNOWN)
 
 
-def json_answer(value: object, status: int = 200) -> Answer:
+def json_response(value: object, status: int = 200) -> HandlerResponse:
     """
     :param value: what msgspec can encode.
     :returns: an answer with a JSON body.
     """
-    return Answer(status, msgspec.json.encode(value))
+    return HandlerResponse(status, msgspec.json.encode(value))
 
 
-def error_rule(error: SycamorecroftError) -> ErrorRule:
+def error_mapping(error: SycamorecroftError) -> ErrorMapping:
     """
     :returns: how ``error`` is reported.
     """
     if isinstance(error, NotRunError):
-        return ErrorRule(503, error.reason, Outcome.NOT_RUN)
+        return ErrorMapping(503, error.reason, Outcome.NOT_RUN)
     if isinstance(error, OutcomeUnknownError):
-        return ErrorRule(504, error.reason, Outcome.UNKNOWN)
-    for kind, rule in _ERROR_RULES:
+        return ErrorMapping(504, error.reason, Outcome.UNKNOWN)
+    for kind, mapping in _ERROR_MAPPINGS:
         if isinstance(error, kind):
-            return rule
+            return mapping
     return _INTERNAL_ERROR
 
 
@@ -142,14 +142,14 @@
         telemetry: Telemetry,
         operator_token: str | None,
     ) -> None:
-        own_routes = (
+        builtin_routes = (
             Route("GET", "/healthz", self._health),
             Route("GET", "/readyz", self._ready),
             Route("GET", "/metrics", self._metrics),
         )
         self._map = Map(
             Rule(route.path, methods=[route.method], endpoint=route.handler)
-            for route in (*own_routes, *routes)
+            for route in (*builtin_routes, *routes)
         )
         self._readiness = readiness
         self._telemetry = telemetry
@@ -159,10 +159,10 @@
         request = Request(environ)
         request_id = secrets.token_hex(16)
         with structlog.contextvars.bound_contextvars(request_id=request_id):
-            answer = self._answer(request, request_id)
-        return self._response(answer, request_id)(environ, start_response)
+            response = self._handle(request, request_id)
+        return self._to_werkzeug_response(response, request_id)(environ, start_response)
 
-    def _answer(self, request: Request, request_id: str) -> Answer:
+    def _handle(self, request: Request, request_id: str) -> HandlerResponse:
         try:
             handler, values = self._map.bind_to_environ(request.environ).match()
             self._authorise(request)
@@ -173,7 +173,7 @@
             return self._error(error, request_id)
         except Exception:
             _log.exception("request_failed", path=request.path)
-            return self._report(_INTERNAL_ERROR, "internal error", request_id)
+            return self._error_response(_INTERNAL_ERROR, "internal error", request_id)
 
     def _authorise(self, request: Request) -> None:
         if not request.path.startswith(OPERATOR_PREFIX):
@@ -181,20 +181,20 @@
         if self._token is None:
             if ipaddress.ip_address(request.remote_addr or "0.0.0.0").is_loopback:
                 return
-            raise _ForbiddenError(
+            raise _UnauthorisedError(
                 "operator calls from beyond loopback need operator_token in settings"
             )
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
         expected = self._token.encode()
         is_valid = hmac.compare_digest(token.strip().encode(), expected)
         if scheme.lower() != "bearer" or not is_valid:
-            raise _ForbiddenError(
+            raise _UnauthorisedError(
                 "Authorization: allowed is 'Bearer' with operator_token"
             )
 
     def _http_error(
         self, error: HTTPException, request: Request, request_id: str
-    ) -> Answer:
+    ) -> HandlerResponse:
         if isinstance(error, NotFound):
             message = f"path {request.path!r} not found; see docs/callers.md"
         elif isinstance(error, MethodNotAllowed):
@@ -202,52 +202,58 @@
             message = f"method {request.method!r}; allowed are {allowed}"
         else:
             message = error.description or "bad request"
-        rule = ErrorRule(error.code or 400, "bad_request", Outcome.NOT_RUN)
-        return self._report(rule, message, request_id)
-
-    def _error(self, error: SycamorecroftError, request_id: str) -> Answer:
-        if isinstance(error, _ForbiddenError):
-            rule = ErrorRule(401, "unauthorised", Outcome.NOT_RUN)
-            return self._report(rule, str(error), request_id)
-        rule = error_rule(error)
-        if rule is _INTERNAL_ERROR:
+        mapping = ErrorMapping(error.code or 400, "bad_request", Outcome.NOT_RUN)
+        return self._error_response(mapping, message, request_id)
+
+    def _error(self, error: SycamorecroftError, request_id: str) -> HandlerResponse:
+        if isinstance(error, _UnauthorisedError):
+            mapping = ErrorMapping(401, "unauthorised", Outcome.NOT_RUN)
+            return self._error_response(mapping, str(error), request_id)
+        mapping = error_mapping(error)
+        if mapping is _INTERNAL_ERROR:
             _log.exception("request_failed")
-        return self._report(rule, str(error), request_id)
+        return self._error_response(mapping, str(error), request_id)
 
     @staticmethod
-    def _report(rule: ErrorRule, message: str, request_id: str) -> Answer:
-        body = ErrorBody(rule.reason, message, request_id, rule.outcome)
-        return Answer(
-            rule.status,
+    def _error_response(
+        mapping: ErrorMapping, message: str, request_id: str
+    ) -> HandlerResponse:
+        body = ErrorBody(mapping.reason, message, request_id, mapping.outcome)
+        return HandlerResponse(
+            mapping.status,
             msgspec.json.encode(body),
-            outcome=rule.outcome,
-            reason=rule.reason,
+            outcome=mapping.outcome,
+            reason=mapping.reason,
         )
 
-    def _response(self, answer: Answer, request_id: str) -> Response:
+    def _to_werkzeug_response(
+        self, handled: HandlerResponse, request_id: str
+    ) -> Response:
         response = Response(
-            answer.body, status=answer.status, content_type=answer.content_type
+            handled.body, status=handled.status, content_type=handled.content_type
         )
-        response.headers.extend(answer.headers)
+        response.headers.extend(handled.headers)
         response.headers[REQUEST_ID_HEADER] = request_id
-        if answer.outcome is not None:
-            response.headers[OUTCOME_HEADER] = answer.outcome
-        if answer.reason is not None:
-            response.headers[REASON_HEADER] = answer.reason
+        if handled.outcome is not None:
+            response.headers[OUTCOME_HEADER] = handled.outcome
+        if handled.reason is not None:
+            response.headers[REASON_HEADER] = handled.reason
         return response
 
-    def _health(self, request: Request, request_id: str) -> Answer:
-        return json_answer({"status": "ok"})
+    def _health(self, request: Request, request_id: str) -> HandlerResponse:
+        return json_response({"status": "ok"})
 
-    def _ready(self, request: Request, request_id: str) -> Answer:
+    def _ready(self, request: Request, request_id: str) -> HandlerResponse:
         reasons = self._readiness.reasons_not_ready()
-        return json_answer(
+        return json_response(
             {"ready": not reasons, "reasons": reasons}, 503 if reasons else 200
         )
 
-    def _metrics(self, request: Request, request_id: str) -> Answer:
-        return Answer(200, self._telemetry.render(), "text/plain; version=0.0.4")
+    def _metrics(self, request: Request, request_id: str) -> HandlerResponse:
+        return HandlerResponse(
+            200, self._telemetry.render(), "text/plain; version=0.0.4"
+        )
 
 
-class _ForbiddenError(SycamorecroftError):
+class _UnauthorisedError(SycamorecroftError):
     """An operator call without a valid token."""
--- a/src/sycamorecroft/entry/callers.py
+++ b/src/sycamorecroft/entry/callers.py
@@ -7,9 +7,9 @@
 from sycamorecroft.admission.entry_limit import EntryFlow, EntryLimit
 from sycamorecroft.clock import Clock
 from sycamorecroft.configuration.fleet import FleetConfiguration
-from sycamorecroft.entry.application import Answer, Route
-from sycamorecroft.entry.headers import OWN_PREFIX
-from sycamorecroft.entry.parsing import Call, CallerRequest, parse_call
+from sycamorecroft.entry.application import HandlerResponse, Route
+from sycamorecroft.entry.headers import RESERVED_PREFIX
+from sycamorecroft.entry.parsing import CallerRequest, IncomingRequest, parse_request
 from sycamorecroft.entry.request_report import (
     ADMITTED,
     RequestReporter,
@@ -53,61 +53,63 @@
         path = "/v1/services/<service>/requests"
         return (Route("POST", path, self.run_request),)
 
-    def run_request(self, request: Request, request_id: str, service: str) -> Answer:
+    def run_request(
+        self, request: Request, request_id: str, service: str
+    ) -> HandlerResponse:
         """Runs a request on a backend server of the service."""
         body = request.get_data()
         trace = RequestTrace(request_id, self._clock.monotonic_s(), len(body))
         try:
             execution = self._run(
-                Call(request_id, service, request.headers, body), trace
+                IncomingRequest(request_id, service, request.headers, body), trace
             )
         except Exception as error:
             self._reporter.report_failure(trace, error)
             raise
-        self._reporter.report_run(trace)
-        return self._answer(execution)
+        self._reporter.report_completed(trace)
+        return self._to_response(execution)
 
-    def _run(self, call: Call, trace: RequestTrace) -> Execution:
+    def _run(self, call: IncomingRequest, trace: RequestTrace) -> Execution:
         configuration = self._configuration()
         if configuration is None:
             raise NotRunError("not_ready", "no configuration is in force here yet")
         if call.service in configuration.services:
             trace.service = call.service
-        parsed = parse_call(call, configuration)
-        trace.team, trace.urgency = parsed.team, parsed.urgency.value
-        return self._admit_and_execute(parsed, trace)
+        checked = parse_request(call, configuration)
+        trace.team, trace.urgency = checked.team, checked.urgency.value
+        return self._admit_and_execute(checked, trace)
 
     def _admit_and_execute(
-        self, parsed: CallerRequest, trace: RequestTrace
+        self, checked: CallerRequest, trace: RequestTrace
     ) -> Execution:
-        service, size_bytes = parsed.service.name, len(parsed.body)
-        flow = EntryFlow(service, parsed.urgency, parsed.team)
+        service, size_bytes = checked.service.name, len(checked.body)
+        flow = EntryFlow(service, checked.urgency, checked.team)
         refusal = self._limit.admit(flow, size_bytes)
         trace.admission = refusal or ADMITTED
         if refusal is not None:
             message = f"entry host is full for service {service!r}; repeat later"
             raise NotRunError(refusal, message)
         try:
-            execution = self._execute(parsed, trace.started_s)
+            execution = self._execute(checked, trace.started_s)
         finally:
             self._limit.leave(flow, size_bytes)
         trace.steps = execution.steps
         return self._require_response(execution, service)
 
-    def _execute(self, parsed: CallerRequest, started_s: float) -> Execution:
+    def _execute(self, checked: CallerRequest, started_s: float) -> Execution:
         request = ServiceRequest(
-            request_id=parsed.request_id,
-            account=parsed.service.account,
-            service=parsed.service.name,
-            team=parsed.team,
-            urgency=parsed.urgency,
-            deadline_s=started_s + parsed.timeout_s,
-            is_repeatable=parsed.is_repeatable,
-            idempotency_key=parsed.idempotency_key,
-            headers=parsed.headers,
-            body=parsed.body,
+            request_id=checked.request_id,
+            account=checked.service.account,
+            service=checked.service.name,
+            team=checked.team,
+            urgency=checked.urgency,
+            deadline_s=started_s + checked.timeout_s,
+            is_repeatable=checked.is_repeatable,
+            idempotency_key=checked.idempotency_key,
+            headers=checked.headers,
+            body=checked.body,
         )
-        return self._executor.execute(request, parsed.service)
+        return self._executor.execute(request, checked.service)
 
     @staticmethod
     def _require_response(execution: Execution, service: str) -> Execution:
@@ -123,14 +125,14 @@
             raise OutcomeUnknownError(reason, message)
         return execution
 
-    def _answer(self, execution: Execution) -> Answer:
+    def _to_response(self, execution: Execution) -> HandlerResponse:
         response = execution.response
         assert response is not None
-        headers = _forwarded(response.headers)
+        headers = _response_headers(response.headers)
         content_type = headers.pop("content-type", "application/octet-stream")
         if execution.is_recorded:
             headers[RECORDED_HEADER] = "yes"
-        return Answer(
+        return HandlerResponse(
             response.status,
             response.body,
             content_type,
@@ -139,10 +141,10 @@
         )
 
 
-def _forwarded(headers: Mapping[str, str]) -> dict[str, str]:
+def _response_headers(headers: Mapping[str, str]) -> dict[str, str]:
     return {
         name.lower(): value
         for name, value in headers.items()
-        if not name.lower().startswith(OWN_PREFIX)
+        if not name.lower().startswith(RESERVED_PREFIX)
         and name.lower() not in ("date", "server")
     }
--- a/src/sycamorecroft/entry/headers.py
+++ b/src/sycamorecroft/entry/headers.py
@@ -12,6 +12,6 @@
 
 # Headers with this prefix belong to the entry host; a backend server sees only the
 # request id and sets none of them.
-OWN_PREFIX = "sycamorecroft-"
+RESERVED_PREFIX = "sycamorecroft-"
 
 DEFAULT_TEAM = "default"
--- a/src/sycamorecroft/entry/jobs.py
+++ b/src/sycamorecroft/entry/jobs.py
@@ -8,10 +8,10 @@
 
 from sycamorecroft.clock import Clock
 from sycamorecroft.configuration.fleet import FleetConfiguration, Urgency
-from sycamorecroft.entry.application import Answer, Route, json_answer
+from sycamorecroft.entry.application import HandlerResponse, Route, json_response
 from sycamorecroft.entry.headers import IDEMPOTENCY_KEY_HEADER
 from sycamorecroft.entry.operator_interface import decode_body
-from sycamorecroft.entry.parsing import checked_idempotency_key
+from sycamorecroft.entry.parsing import validate_idempotency_key
 from sycamorecroft.errors import NotRunError, RequestError
 from sycamorecroft.jobs import JobRecord, JobRequest, JobStore
 from sycamorecroft.store.interfaces import TaskSize
@@ -71,7 +71,7 @@
             Route("DELETE", job, self.cancel),
         )
 
-    def submit(self, request: Request, request_id: str) -> Answer:
+    def submit(self, request: Request, request_id: str) -> HandlerResponse:
         """Accepts a job: it is durable before the caller is told."""
         size_bytes = len(request.get_data())
         if size_bytes > BODY_LIMIT_BYTES:
@@ -86,20 +86,20 @@
                 f"{IDEMPOTENCY_KEY_HEADER} is missing; send a key that is new for "
                 "each job and is kept when the same job is submitted again"
             )
-        account = self._account_of(body)
+        account = self._require_account(body)
         job = JobRequest(
             account=account,
             service=body.service,
-            idempotency_key=checked_idempotency_key(key),
+            idempotency_key=validate_idempotency_key(key),
             team=body.team,
             urgency=body.urgency,
             command=body.command,
             size=TaskSize(*msgspec.structs.astuple(body.size)),
         )
         deadline_s = self._clock.monotonic_s() + SUBMIT_TIMEOUT_S
-        return json_answer(self._store.submit(job, deadline_s=deadline_s), 202)
+        return json_response(self._store.submit(job, deadline_s=deadline_s), 202)
 
-    def _account_of(self, body: JobBody) -> str:
+    def _require_account(self, body: JobBody) -> str:
         configuration = self._configuration()
         if configuration is None:
             raise NotRunError("not_ready", "no configuration is in force here yet")
@@ -113,7 +113,7 @@
             raise RequestError(f"unknown team {body.team!r}; allowed: {allowed}")
         return service.account
 
-    def list(self, request: Request, request_id: str) -> Answer:
+    def list(self, request: Request, request_id: str) -> HandlerResponse:
         """Jobs of a client account, or of one of its services."""
         account = request.args.get("account")
         if not account:
@@ -123,18 +123,20 @@
             request.args.get("service"),
             include_ended=request.args.get("ended") == "yes",
         )
-        return json_answer({"jobs": jobs[:_LIST_LIMIT_COUNT], "jobs_count": len(jobs)})
+        return json_response(
+            {"jobs": jobs[:_LIST_LIMIT_COUNT], "jobs_count": len(jobs)}
+        )
 
-    def read(self, request: Request, request_id: str, job_id: str) -> Answer:
+    def read(self, request: Request, request_id: str, job_id: str) -> HandlerResponse:
         """One job."""
-        return json_answer(_require(self._store.get(job_id), job_id))
+        return json_response(_require_job(self._store.get(job_id), job_id))
 
-    def cancel(self, request: Request, request_id: str, job_id: str) -> Answer:
+    def cancel(self, request: Request, request_id: str, job_id: str) -> HandlerResponse:
         """Asks for the end of a job; a job that has ended stays as it is."""
-        return json_answer(_require(self._store.cancel(job_id), job_id))
+        return json_response(_require_job(self._store.cancel(job_id), job_id))
 
 
-def _require(job: JobRecord | None, job_id: str) -> JobRecord:
+def _require_job(job: JobRecord | None, job_id: str) -> JobRecord:
     if job is None:
         raise RequestError(
             f"job {job_id!r} is unknown; ended jobs are kept for a week; list the jobs"
--- a/src/sycamorecroft/entry/operator_configuration.py
+++ b/src/sycamorecroft/entry/operator_configuration.py
@@ -4,13 +4,13 @@
 from werkzeug.wrappers import Request
 
 from sycamorecroft.configuration.codec import decode_configuration, encode_configuration
-from sycamorecroft.entry.application import Answer, Route, json_answer
+from sycamorecroft.entry.application import HandlerResponse, Route, json_response
 from sycamorecroft.entry.operator_interface import (
     PREFIX,
     OperatorState,
     OperatorStores,
     decode_body,
-    named,
+    to_builtins,
 )
 
 _HISTORY_LIMIT_COUNT = 20
@@ -51,11 +51,11 @@
             Route("GET", f"{path}/history", self.history),
         )
 
-    def read(self, request: Request, request_id: str) -> Answer:
+    def read(self, request: Request, request_id: str) -> HandlerResponse:
         """The version published last, from the store."""
         head = self._stores.configuration.read_head()
         in_force = self._state.configuration().in_force_version
-        return json_answer(
+        return json_response(
             {
                 "version": head.version if head else 0,
                 "in_force_version": in_force,
@@ -65,7 +65,7 @@
             }
         )
 
-    def publish(self, request: Request, request_id: str) -> Answer:
+    def publish(self, request: Request, request_id: str) -> HandlerResponse:
         """Publishes a configuration as the version after its base."""
         body = decode_body(request, PublishBody)
         published = self._stores.configuration.publish(
@@ -73,17 +73,17 @@
             base_version=body.base_version,
             author=body.author,
         )
-        return json_answer(named(published))
+        return json_response(to_builtins(published))
 
-    def roll_back(self, request: Request, request_id: str) -> Answer:
+    def roll_back(self, request: Request, request_id: str) -> HandlerResponse:
         """Publishes the content of an earlier version as a new version."""
         body = decode_body(request, RollbackBody)
         published = self._stores.configuration.rollback(
             body.to_version, base_version=body.base_version, author=body.author
         )
-        return json_answer(named(published))
+        return json_response(to_builtins(published))
 
-    def history(self, request: Request, request_id: str) -> Answer:
+    def history(self, request: Request, request_id: str) -> HandlerResponse:
         """Published versions, the latest first."""
         versions = self._stores.configuration.history(_HISTORY_LIMIT_COUNT)
-        return json_answer({"versions": named(versions)})
+        return json_response({"versions": to_builtins(versions)})
--- a/src/sycamorecroft/entry/operator_explanations.py
+++ b/src/sycamorecroft/entry/operator_explanations.py
@@ -2,12 +2,12 @@
 
 from werkzeug.wrappers import Request
 
-from sycamorecroft.entry.application import Answer, Route, json_answer
+from sycamorecroft.entry.application import HandlerResponse, Route, json_response
 from sycamorecroft.entry.operator_interface import (
     PREFIX,
     OperatorState,
     OperatorStores,
-    named,
+    to_builtins,
 )
 from sycamorecroft.errors import RequestError
 from sycamorecroft.jobs.explanation import JobFacts, explain_job
@@ -33,7 +33,7 @@
             Route("GET", f"{path}/requests/<wanted_id>", self.request),
         )
 
-    def host(self, request: Request, request_id: str, host: str) -> Answer:
+    def host(self, request: Request, request_id: str, host: str) -> HandlerResponse:
         """Findings on a host."""
         inventory = self._stores.inventory.read(StorePurpose.OPERATORS)
         facts = HostFacts(
@@ -45,9 +45,9 @@
         if host not in known:
             raise RequestError(f"host {host!r} is unknown; list the hosts")
         findings = explain_host(host, facts)
-        return json_answer({"host": host, "findings": named(findings)})
+        return json_response({"host": host, "findings": to_builtins(findings)})
 
-    def job(self, request: Request, request_id: str, job_id: str) -> Answer:
+    def job(self, request: Request, request_id: str, job_id: str) -> HandlerResponse:
         """Findings on a job."""
         record = self._stores.jobs.get(job_id)
         if record is None:
@@ -60,13 +60,19 @@
             self._stores.jobs.list(record["account"]),
         )
         findings = explain_job(record, facts)
-        return json_answer(
-            {"job_id": job_id, "state": record["state"], "findings": named(findings)}
+        return json_response(
+            {
+                "job_id": job_id,
+                "state": record["state"],
+                "findings": to_builtins(findings),
+            }
         )
 
-    def request(self, request: Request, request_id: str, wanted_id: str) -> Answer:
+    def request(
+        self, request: Request, request_id: str, wanted_id: str
+    ) -> HandlerResponse:
         """The record of a request that came in here; ``null`` if there is none."""
         record = self._state.requests.find(wanted_id)
         membership = self._state.membership()
         entry = membership.own_entry if membership else None
-        return json_answer({"entry": entry, "record": named(record)})
+        return json_response({"entry": entry, "record": to_builtins(record)})
--- a/src/sycamorecroft/entry/operator_hosts.py
+++ b/src/sycamorecroft/entry/operator_hosts.py
@@ -6,13 +6,13 @@
 import msgspec
 from werkzeug.wrappers import Request
 
-from sycamorecroft.entry.application import Answer, Route, json_answer
+from sycamorecroft.entry.application import HandlerResponse, Route, json_response
 from sycamorecroft.entry.operator_interface import (
     PREFIX,
     OperatorState,
     OperatorStores,
     decode_body,
-    named,
+    to_builtins,
 )
 from sycamorecroft.errors import RequestError
 from sycamorecroft.pools.registry import NewHost
@@ -51,38 +51,42 @@
             Route("PUT", f"{PREFIX}/inventory", self.publish_inventory),
         )
 
-    def hosts(self, request: Request, request_id: str) -> Answer:
+    def hosts(self, request: Request, request_id: str) -> HandlerResponse:
         """Host records as this daemon sees them."""
         view = self._state.view()
         records = [view.hosts[name] for name in sorted(view.hosts)]
-        return json_answer({"view_version": view.version, "hosts": records})
+        return json_response({"view_version": view.version, "hosts": records})
 
-    def read_moves(self, request: Request, request_id: str) -> Answer:
+    def read_moves(self, request: Request, request_id: str) -> HandlerResponse:
         """Moves that operators asked for and that aren't done yet."""
-        return json_answer({"moves": dict(self._stores.moves.pending())})
+        return json_response({"moves": dict(self._stores.moves.pending())})
 
-    def move_host(self, request: Request, request_id: str, host: str) -> Answer:
+    def move_host(
+        self, request: Request, request_id: str, host: str
+    ) -> HandlerResponse:
         """Asks for a move of a host to another pool."""
         body = decode_body(request, MoveBody)
-        return json_answer(self._stores.moves.request(host, body.target_pool), 202)
+        return json_response(self._stores.moves.request(host, body.target_pool), 202)
 
-    def read_inventory(self, request: Request, request_id: str) -> Answer:
+    def read_inventory(self, request: Request, request_id: str) -> HandlerResponse:
         """The declared hosts, from the store."""
-        return json_answer(named(self._stores.inventory.read(StorePurpose.OPERATORS)))
+        return json_response(
+            to_builtins(self._stores.inventory.read(StorePurpose.OPERATORS))
+        )
 
-    def publish_inventory(self, request: Request, request_id: str) -> Answer:
+    def publish_inventory(self, request: Request, request_id: str) -> HandlerResponse:
         """Replaces the declared hosts."""
         body = decode_body(request, InventoryBody)
-        hosts = [_new_host(host) for host in body.hosts]
+        hosts = [_parse_new_host(host) for host in body.hosts]
         inventory = self._stores.inventory.publish(
             hosts, base_version=body.base_version
         )
-        return json_answer(
+        return json_response(
             {"version": inventory.version, "hosts_count": len(inventory.hosts)}
         )
 
 
-def _new_host(fields: Mapping[str, Any]) -> NewHost:
+def _parse_new_host(fields: Mapping[str, Any]) -> NewHost:
     try:
         values = [fields[name] for name in NewHost._fields]
         return msgspec.convert(values, NewHost)
--- a/src/sycamorecroft/entry/operator_interface.py
+++ b/src/sycamorecroft/entry/operator_interface.py
@@ -8,7 +8,7 @@
 
 from sycamorecroft.configuration.actor import ConfigurationStatus
 from sycamorecroft.configuration.store import ConfigurationStore
-from sycamorecroft.entry.request_record import RequestRecords
+from sycamorecroft.entry.request_records import RequestRecords
 from sycamorecroft.errors import RequestError
 from sycamorecroft.jobs import JobStore
 from sycamorecroft.maintenance import WaveStore
@@ -47,16 +47,16 @@
     jobs: JobStore
 
 
-def named(value: Any) -> Any:
+def to_builtins(value: Any) -> Any:
     """
     :returns: ``value`` with named tuples as objects, for JSON.
     """
     if hasattr(value, "_asdict"):
-        return {key: named(item) for key, item in value._asdict().items()}
+        return {key: to_builtins(item) for key, item in value._asdict().items()}
     if isinstance(value, Mapping):
-        return {str(key): named(item) for key, item in value.items()}
+        return {str(key): to_builtins(item) for key, item in value.items()}
     if isinstance(value, list | tuple):
-        return [named(item) for item in value]
+        return [to_builtins(item) for item in value]
     return value
 
 
--- a/src/sycamorecroft/entry/operator_maintenance.py
+++ b/src/sycamorecroft/entry/operator_maintenance.py
@@ -6,13 +6,13 @@
 import msgspec
 from werkzeug.wrappers import Request
 
-from sycamorecroft.entry.application import Answer, Route, json_answer
+from sycamorecroft.entry.application import HandlerResponse, Route, json_response
 from sycamorecroft.entry.operator_interface import (
     PREFIX,
     OperatorState,
     OperatorStores,
     decode_body,
-    named,
+    to_builtins,
 )
 from sycamorecroft.errors import RequestError
 from sycamorecroft.maintenance import Selection, SelectionKind
@@ -52,22 +52,22 @@
             Route("POST", f"{wave}/<action>", self.change_wave),
         )
 
-    def waves(self, request: Request, request_id: str) -> Answer:
+    def waves(self, request: Request, request_id: str) -> HandlerResponse:
         """All maintenance waves."""
-        return json_answer(
+        return json_response(
             {"waves": [wave.record for wave in self._stores.waves.waves()]}
         )
 
-    def declare_wave(self, request: Request, request_id: str) -> Answer:
+    def declare_wave(self, request: Request, request_id: str) -> HandlerResponse:
         """Declares a maintenance wave; the same key declares it once."""
         body = decode_body(request, MaintenanceBody)
         selection = Selection(body.kind, body.names)
         wave = self._stores.waves.declare(
             body.idempotency_key, selection, body.deadline
         )
-        return _wave_answer(wave)
+        return _wave_response(wave)
 
-    def wave(self, request: Request, request_id: str, wave_id: str) -> Answer:
+    def wave(self, request: Request, request_id: str, wave_id: str) -> HandlerResponse:
         """A wave with the outcome of each host that has ended."""
         progress = self._stores.waves.progress(wave_id)
         view = self._state.view()
@@ -76,31 +76,33 @@
             for host in progress.wave.record["hosts"]
             if host in view.hosts
         }
-        return json_answer(
+        return json_response(
             {
                 "wave": progress.wave.record,
-                "outcomes": named(progress.outcomes),
+                "outcomes": to_builtins(progress.outcomes),
                 "remaining_hosts": progress.remaining_hosts,
                 "host_states": states,
             }
         )
 
-    def explain_wave(self, request: Request, request_id: str, wave_id: str) -> Answer:
+    def explain_wave(
+        self, request: Request, request_id: str, wave_id: str
+    ) -> HandlerResponse:
         """For each host of the wave why it waits."""
         self._stores.waves.read(wave_id)
-        return json_answer(named(self._stores.maintenance.explain(wave_id)))
+        return json_response(to_builtins(self._stores.maintenance.explain(wave_id)))
 
     def change_wave(
         self, request: Request, request_id: str, wave_id: str, action: str
-    ) -> Answer:
+    ) -> HandlerResponse:
         """Pauses, resumes or cancels a wave."""
         waves = self._stores.waves
         actions = {"pause": waves.pause, "resume": waves.resume, "cancel": waves.cancel}
         if action not in actions:
             allowed = ", ".join(actions)
             raise RequestError(f"action {action!r} is unknown; allowed are {allowed}")
-        return _wave_answer(actions[action](wave_id))
+        return _wave_response(actions[action](wave_id))
 
 
-def _wave_answer(wave: WaveRow) -> Answer:
-    return json_answer({"wave": wave.record})
+def _wave_response(wave: WaveRow) -> HandlerResponse:
+    return json_response({"wave": wave.record})
--- a/src/sycamorecroft/entry/operator_status.py
+++ b/src/sycamorecroft/entry/operator_status.py
@@ -7,16 +7,16 @@
 from werkzeug.wrappers import Request
 
 from sycamorecroft.configuration.fleet import FleetConfiguration
-from sycamorecroft.entry.application import Answer, Route, json_answer
-from sycamorecroft.entry.operator_interface import PREFIX, OperatorState, named
+from sycamorecroft.entry.application import HandlerResponse, Route, json_response
+from sycamorecroft.entry.operator_interface import PREFIX, OperatorState, to_builtins
 from sycamorecroft.membership.state import MembershipView
 from sycamorecroft.pools.state import HostState, PoolView
 
-_PLANNED_OUT = (HostState.DRAINING, HostState.DRAINED, HostState.REBOOTING)
+_PLANNED_OUT_STATES = (HostState.DRAINING, HostState.DRAINED, HostState.REBOOTING)
 _RATIO_TOLERANCE = 1e-9
 
 
-class EntryStatus(NamedTuple):
+class EntryHostStatus(NamedTuple):
     """What gossip tells of an entry host."""
 
     entry: str
@@ -72,31 +72,31 @@
         """
         return (Route("GET", f"{PREFIX}/status", self.status),)
 
-    def status(self, request: Request, request_id: str) -> Answer:
+    def status(self, request: Request, request_id: str) -> HandlerResponse:
         """Fleet overview as this daemon sees it."""
         state = self._state
         configuration = state.configuration()
         membership = state.membership()
         in_force = configuration.in_force
-        return json_answer(
+        return json_response(
             {
                 "entry": membership.own_entry if membership else None,
                 "in_force_version": configuration.in_force_version,
                 "staged_version": configuration.staged_version,
                 "view_version": state.view().version,
-                "entries": named(_entries(membership)),
+                "entries": to_builtins(_entry_host_statuses(membership)),
                 "live_entries": membership.live if membership else (),
                 "expected_entries_count": (
                     membership.expected_count if membership else 0
                 ),
-                "pools": _states_by_pool(state.view()),
-                "pool_counts": named(pool_statuses(in_force, state.view())),
+                "pools": _count_states_by_pool(state.view()),
+                "pool_counts": to_builtins(pool_statuses(in_force, state.view())),
                 "services": sorted(in_force.services) if in_force else (),
-                "queues": named(state.queues()),
-                "store": named(state.store()),
+                "queues": to_builtins(state.queues()),
+                "store": to_builtins(state.store()),
                 "admitted_count": state.admitted_count(),
                 "held_leases": state.held_leases(),
-                "recent_failures": named(state.requests.recent_counts()),
+                "recent_failures": to_builtins(state.requests.recent_counts()),
             }
         )
 
@@ -115,7 +115,7 @@
     for pool in sorted(pools):
         counts = states.get(pool.name, Counter())
         allowed = int(counts.total() * pool.max_unavailable_ratio + _RATIO_TOLERANCE)
-        planned_out = sum(counts[state] for state in _PLANNED_OUT)
+        planned_out = sum(counts[state] for state in _PLANNED_OUT_STATES)
         out = planned_out + counts[HostState.OUT]
         statuses.append(
             PoolStatus(
@@ -132,11 +132,13 @@
     return tuple(statuses)
 
 
-def _entries(membership: MembershipView | None) -> Iterable[EntryStatus]:
+def _entry_host_statuses(
+    membership: MembershipView | None,
+) -> Iterable[EntryHostStatus]:
     if membership is None:
         return []
     return [
-        EntryStatus(
+        EntryHostStatus(
             entry=digest.entry,
             is_reached=digest.entry in membership.reached,
             staged_version=digest.staged_version,
@@ -149,7 +151,7 @@
     ]
 
 
-def _states_by_pool(view: PoolView) -> dict[str, dict[str, int]]:
+def _count_states_by_pool(view: PoolView) -> dict[str, dict[str, int]]:
     pools: dict[str, dict[str, int]] = {}
     for record in view.hosts.values():
         states = pools.setdefault(record["pool"], {})
--- a/src/sycamorecroft/entry/parsing.py
+++ b/src/sycamorecroft/entry/parsing.py
@@ -14,8 +14,8 @@
     ACCOUNT_HEADER,
     DEFAULT_TEAM,
     IDEMPOTENCY_KEY_HEADER,
-    OWN_PREFIX,
     REPEATABLE_HEADER,
+    RESERVED_PREFIX,
     TEAM_HEADER,
     TIMEOUT_HEADER,
     URGENCY_HEADER,
@@ -27,7 +27,7 @@
 _IDEMPOTENCY_KEY = re.compile(r"[\x21-\x7e]{1,128}")
 _MS_PER_S = 1000.0
 # Values of callers are repeated in messages up to this length.
-_SHOWN_CHARACTERS = 64
+_QUOTED_LIMIT_CHARACTERS = 64
 
 
 class CallerRequest(NamedTuple):
@@ -44,7 +44,7 @@
     body: bytes
 
 
-class Call(NamedTuple):
+class IncomingRequest(NamedTuple):
     """A caller's request as it arrived."""
 
     request_id: str
@@ -53,113 +53,123 @@
     body: bytes
 
 
-def _end_to_end(headers: Mapping[str, str]) -> dict[str, str]:
+def _forwarded_headers(headers: Mapping[str, str]) -> dict[str, str]:
     """
     :returns: headers for the backend server; the dispatcher drops those of the hop.
     """
     return {
         name: value
         for name, value in headers.items()
-        if not name.lower().startswith(OWN_PREFIX)
+        if not name.lower().startswith(RESERVED_PREFIX)
     }
 
 
-def _shown(value: str) -> str:
-    return repr(value[:_SHOWN_CHARACTERS])
+def _quote(value: str) -> str:
+    return repr(value[:_QUOTED_LIMIT_CHARACTERS])
 
 
-def _list(values: Iterable[str]) -> str:
+def _join_sorted(values: Iterable[str]) -> str:
     return ", ".join(sorted(values))
 
 
-def parse_call(call: Call, configuration: FleetConfiguration) -> CallerRequest:
+def parse_request(
+    call: IncomingRequest, configuration: FleetConfiguration
+) -> CallerRequest:
     """
     :param call: the request as it arrived.
     :param configuration: the configuration in force.
     :returns: the checked request.
     :raises RequestError: naming the value got, the values allowed and what to do.
     """
-    service = _service(call, configuration)
+    service = _require_service(call, configuration)
     account = configuration.accounts[service.account]
-    is_repeatable = _is_repeatable(call.headers, service)
+    is_repeatable = _parse_is_repeatable(call.headers, service)
     return CallerRequest(
         request_id=call.request_id,
         service=service,
-        team=_team(call.headers, account),
-        urgency=_urgency(call.headers, service),
-        timeout_s=_timeout_s(call.headers, service),
+        team=_parse_team(call.headers, account),
+        urgency=_parse_urgency(call.headers, service),
+        timeout_s=_parse_timeout_s(call.headers, service),
         is_repeatable=is_repeatable,
-        idempotency_key=_idempotency_key(call.headers, service, is_repeatable),
-        headers=_end_to_end(call.headers),
-        body=_body(call, service),
+        idempotency_key=_parse_idempotency_key(call.headers, service, is_repeatable),
+        headers=_forwarded_headers(call.headers),
+        body=_require_body(call, service),
     )
 
 
-def _service(call: Call, configuration: FleetConfiguration) -> ServiceConfiguration:
+def _require_service(
+    call: IncomingRequest, configuration: FleetConfiguration
+) -> ServiceConfiguration:
     service = configuration.services.get(call.service)
     if service is None:
         raise RequestError(
-            f"unknown service {_shown(call.service)}; configuration version "
-            f"{configuration.version} has: {_list(configuration.services)}; "
+            f"unknown service {_quote(call.service)}; configuration version "
+            f"{configuration.version} has: {_join_sorted(configuration.services)}; "
             "correct the path"
         )
     account = call.headers.get(ACCOUNT_HEADER, service.account)
     if account != service.account:
         raise RequestError(
-            f"{ACCOUNT_HEADER}: got {_shown(account)}; service {service.name!r} "
+            f"{ACCOUNT_HEADER}: got {_quote(account)}; service {service.name!r} "
             f"belongs to {service.account!r}; correct or leave out the header"
         )
     return service
 
 
-def _team(headers: Mapping[str, str], account: AccountConfiguration) -> str:
+def _parse_team(headers: Mapping[str, str], account: AccountConfiguration) -> str:
     team = headers.get(TEAM_HEADER)
     if team is None:
         return DEFAULT_TEAM
     if team not in account.teams:
         raise RequestError(
-            f"{TEAM_HEADER}: got {_shown(team)}; client account {account.name!r} has: "
-            f"{_list(account.teams)}; correct or leave out the header"
+            f"{TEAM_HEADER}: got {_quote(team)}; client account {account.name!r} has: "
+            f"{_join_sorted(account.teams)}; correct or leave out the header"
         )
     return team
 
 
-def _urgency(headers: Mapping[str, str], service: ServiceConfiguration) -> Urgency:
+def _parse_urgency(
+    headers: Mapping[str, str], service: ServiceConfiguration
+) -> Urgency:
     text = headers.get(URGENCY_HEADER, service.default_urgency)
     try:
         return Urgency(text)
     except ValueError as error:
         raise RequestError(
-            f"{URGENCY_HEADER}: got {_shown(text)}; allowed are {_list(Urgency)}; "
-            "correct or leave out the header"
+            f"{URGENCY_HEADER}: got {_quote(text)}; allowed are "
+            f"{_join_sorted(Urgency)}; correct or leave out the header"
         ) from error
 
 
-def _timeout_s(headers: Mapping[str, str], service: ServiceConfiguration) -> float:
+def _parse_timeout_s(
+    headers: Mapping[str, str], service: ServiceConfiguration
+) -> float:
     text = headers.get(TIMEOUT_HEADER)
     if text is None:
         return service.timeout_s
     allowed = f"whole milliseconds from {MIN_TIMEOUT_MS} to {MAX_TIMEOUT_MS}"
     if not (text.isascii() and text.isdigit()):
         raise RequestError(
-            f"{TIMEOUT_HEADER}: got {_shown(text)}; allowed are {allowed}"
+            f"{TIMEOUT_HEADER}: got {_quote(text)}; allowed are {allowed}"
         )
     timeout_ms = int(text[:9])
     if len(text) > 9 or not MIN_TIMEOUT_MS <= timeout_ms <= MAX_TIMEOUT_MS:
         raise RequestError(
-            f"{TIMEOUT_HEADER}: got {_shown(text)}; allowed are {allowed}"
+            f"{TIMEOUT_HEADER}: got {_quote(text)}; allowed are {allowed}"
         )
     # The service's own time limit holds whatever the caller asks.
     return min(timeout_ms / _MS_PER_S, service.timeout_s)
 
 
-def _is_repeatable(headers: Mapping[str, str], service: ServiceConfiguration) -> bool:
+def _parse_is_repeatable(
+    headers: Mapping[str, str], service: ServiceConfiguration
+) -> bool:
     text = headers.get(REPEATABLE_HEADER)
     if text is None:
         return service.is_repeatable
     if text not in ("yes", "no"):
         raise RequestError(
-            f"{REPEATABLE_HEADER}: got {_shown(text)}; allowed are yes, no"
+            f"{REPEATABLE_HEADER}: got {_quote(text)}; allowed are yes, no"
         )
     if text == "yes" and not service.is_repeatable:
         raise RequestError(
@@ -169,7 +179,7 @@
     return text == "yes"
 
 
-def _idempotency_key(
+def _parse_idempotency_key(
     headers: Mapping[str, str], service: ServiceConfiguration, is_repeatable: bool
 ) -> str | None:
     key = headers.get(IDEMPOTENCY_KEY_HEADER)
@@ -182,23 +192,23 @@
             "most once; send a key of your own that is new for each order and is "
             "kept when the same order is sent again"
         )
-    return checked_idempotency_key(key)
+    return validate_idempotency_key(key)
 
 
-def checked_idempotency_key(key: str) -> str:
+def validate_idempotency_key(key: str) -> str:
     """
     :returns: the key.
     :raises RequestError: if it is too long or has other characters than allowed.
     """
     if not _IDEMPOTENCY_KEY.fullmatch(key):
         raise RequestError(
-            f"{IDEMPOTENCY_KEY_HEADER}: got {_shown(key)}; allowed are 1 to 128 "
+            f"{IDEMPOTENCY_KEY_HEADER}: got {_quote(key)}; allowed are 1 to 128 "
             "printable ASCII characters without spaces"
         )
     return key
 
 
-def _body(call: Call, service: ServiceConfiguration) -> bytes:
+def _require_body(call: IncomingRequest, service: ServiceConfiguration) -> bytes:
     if len(call.body) > service.body_limit_bytes:
         raise RequestError(
             f"body of {len(call.body)} bytes; service {service.name!r} takes at most "
--- a/src/sycamorecroft/entry/request_record.py
+++ b/src/sycamorecroft/entry/request_records.py
@@ -6,10 +6,10 @@
 
 from sycamorecroft.clock import Clock
 
-RECORDS_COUNT = 2000
+RECORDS_LIMIT_COUNT = 2000
 """Chosen: about 2 MB; a flood pushes older records out, and its own are all alike."""
 
-RECENT_S = 60.0
+RECENT_PERIOD_S = 60.0
 MESSAGE_LIMIT_CHARACTERS = 300
 
 
@@ -54,7 +54,7 @@
 class RequestRecords:
     """Latest records by request id. Thread-safe; lost when the process ends."""
 
-    def __init__(self, clock: Clock, *, limit_count: int = RECORDS_COUNT) -> None:
+    def __init__(self, clock: Clock, *, limit_count: int = RECORDS_LIMIT_COUNT) -> None:
         """
         :param clock: tells which records are recent.
         :param limit_count: number of records kept.
@@ -82,7 +82,7 @@
         """
         :returns: counts by service and reason over the last minute, highest first.
         """
-        since_s = self._clock.monotonic_s() - RECENT_S
+        since_s = self._clock.monotonic_s() - RECENT_PERIOD_S
         counts: Counter[tuple] = Counter()
         with self._lock:
             records = tuple(self._records.values())
--- a/src/sycamorecroft/entry/request_report.py
+++ b/src/sycamorecroft/entry/request_report.py
@@ -7,7 +7,7 @@
 import structlog
 
 from sycamorecroft.clock import Clock
-from sycamorecroft.entry.request_record import (
+from sycamorecroft.entry.request_records import (
     MESSAGE_LIMIT_CHARACTERS,
     RequestRecord,
     RequestRecords,
@@ -17,10 +17,10 @@
 from sycamorecroft.routing.execution import ExecutionStep, Outcome, StepKind
 from sycamorecroft.telemetry import Telemetry
 
-LINES_PER_S = 10.0
+LOG_LINES_PER_S = 10.0
 """Chosen: a flood of refusals writes at most this many lines; metrics count all."""
 
-LINES_BURST_COUNT = 50.0
+LOG_BURST_COUNT = 50.0
 ADMITTED = "admitted"
 BAD_REQUEST = "bad_request"
 INTERNAL = "internal"
@@ -46,13 +46,13 @@
         self.steps: tuple[ExecutionStep, ...] = ()
 
 
-class LogLimit:
+class LogRateLimiter:
     """Token bucket of log lines. Thread-safe."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._tokens = LINES_BURST_COUNT
-        self._filled_s = clock.monotonic_s()
+        self._tokens = LOG_BURST_COUNT
+        self._refilled_s = clock.monotonic_s()
         self._suppressed_count = 0
         self._lock = threading.Lock()
 
@@ -63,9 +63,9 @@
         """
         with self._lock:
             now_s = self._clock.monotonic_s()
-            earned = (now_s - self._filled_s) * LINES_PER_S
-            self._tokens = min(LINES_BURST_COUNT, self._tokens + earned)
-            self._filled_s = now_s
+            earned = (now_s - self._refilled_s) * LOG_LINES_PER_S
+            self._tokens = min(LOG_BURST_COUNT, self._tokens + earned)
+            self._refilled_s = now_s
             if self._tokens < 1.0:
                 self._suppressed_count += 1
                 return None
@@ -74,7 +74,7 @@
             return suppressed_count
 
 
-class _Result(NamedTuple):
+class _FailureResult(NamedTuple):
     outcome: Outcome
     reason: str
     message: str
@@ -89,21 +89,21 @@
         self._telemetry = telemetry
         self._records = records
         self._clock = clock
-        self._limit = LogLimit(clock)
+        self._log_limiter = LogRateLimiter(clock)
 
-    def report_run(self, trace: RequestTrace) -> None:
+    def report_completed(self, trace: RequestTrace) -> None:
         """Reports a request whose response is passed on."""
         self._count(trace, Outcome.RUN)
         _log.debug("request_run", **self._fields(trace))
 
     def report_failure(self, trace: RequestTrace, error: Exception) -> None:
         """Reports a request that was not run or whose outcome is unknown."""
-        result = _result_of(error)
+        result = _to_failure_result(error)
         self._count(trace, result.outcome)
         if result.outcome is Outcome.NOT_RUN:
             self._telemetry.count_refusal(trace.service, result.reason)
         self._records.add(self._record(trace, result))
-        suppressed_count = self._limit.admit()
+        suppressed_count = self._log_limiter.admit()
         if suppressed_count is None:
             return
         is_not_run = result.outcome is Outcome.NOT_RUN
@@ -139,7 +139,7 @@
             "body_bytes": trace.body_bytes,
         }
 
-    def _record(self, trace: RequestTrace, result: _Result) -> RequestRecord:
+    def _record(self, trace: RequestTrace, result: _FailureResult) -> RequestRecord:
         return RequestRecord(
             request_id=trace.request_id,
             ended_at=self._clock.now().isoformat(timespec="milliseconds"),
@@ -152,24 +152,26 @@
             message=result.message[:MESSAGE_LIMIT_CHARACTERS],
             body_bytes=trace.body_bytes,
             duration_ms=self._elapsed_ms(trace),
-            steps=tuple(_steps(trace, result)),
+            steps=tuple(_to_request_steps(trace, result)),
         )
 
     def _elapsed_ms(self, trace: RequestTrace) -> float:
         return _ms(self._clock.monotonic_s() - trace.started_s)
 
 
-def _result_of(error: Exception) -> _Result:
+def _to_failure_result(error: Exception) -> _FailureResult:
     if isinstance(error, OutcomeUnknownError):
-        return _Result(Outcome.UNKNOWN, error.reason, str(error))
+        return _FailureResult(Outcome.UNKNOWN, error.reason, str(error))
     if isinstance(error, NotRunError):
-        return _Result(Outcome.NOT_RUN, error.reason, str(error))
+        return _FailureResult(Outcome.NOT_RUN, error.reason, str(error))
     if isinstance(error, SycamorecroftError):
-        return _Result(Outcome.NOT_RUN, BAD_REQUEST, str(error))
-    return _Result(Outcome.UNKNOWN, INTERNAL, type(error).__name__)
+        return _FailureResult(Outcome.NOT_RUN, BAD_REQUEST, str(error))
+    return _FailureResult(Outcome.UNKNOWN, INTERNAL, type(error).__name__)
 
 
-def _steps(trace: RequestTrace, result: _Result) -> Iterable[RequestStep]:
+def _to_request_steps(
+    trace: RequestTrace, result: _FailureResult
+) -> Iterable[RequestStep]:
     if trace.admission is None:
         yield RequestStep("headers", result.reason, None, 0.0)
         return
--- a/src/sycamorecroft/entry/server.py
+++ b/src/sycamorecroft/entry/server.py
@@ -20,7 +20,7 @@
 _RECEIVE_SIZE_BYTES = 64 * 1024
 # waitress moves a buffer above the limit into a temporary file, and entry hosts have
 # no disks.
-_BUFFER_MARGIN_BYTES = 1024 * 1024
+_BUFFER_HEADROOM_BYTES = 1024 * 1024
 # A caller that sends a byte now and then is never silent, and would hold one of the
 # connections for as long as it likes.
 MIN_RECEIVE_RATE_BYTES_PER_S = 8 * 1024
@@ -61,21 +61,21 @@
     _request_bytes = 0
 
     def received(self, data: bytes) -> bool:
-        is_taken = super().received(data)
+        is_accepted = super().received(data)
         if self.request is None:
             self._request_started_s = None
             self._request_bytes = 0
-            return is_taken
+            return is_accepted
         now_s = time.time()
         if self._request_started_s is None:
             self._request_started_s = now_s
         self._request_bytes += len(data)
         allowed_s = self._request_bytes / MIN_RECEIVE_RATE_BYTES_PER_S
         self.last_activity = min(now_s, self._request_started_s + allowed_s)
-        return is_taken
+        return is_accepted
 
 
-class EntryServer:
+class HttpServer:
     """waitress server whose stop waits for every request that has begun.
 
     :param application: WSGI application.
@@ -83,7 +83,7 @@
 
     def __init__(self, application, settings: DaemonSettings | ServerSettings) -> None:
         address = parse_address(settings.http_address)
-        overflow_bytes = settings.body_limit_bytes + _BUFFER_MARGIN_BYTES
+        overflow_bytes = settings.body_limit_bytes + _BUFFER_HEADROOM_BYTES
         self._server = waitress.server.create_server(
             application,
             host=str(address.ip),
@@ -118,9 +118,9 @@
             has an answer that isn't sent yet.
         """
         channels = tuple(self._server.active_channels.values())
-        return sum(_is_busy(channel) for channel in channels)
+        return sum(_has_request_in_flight(channel) for channel in channels)
 
-    def begin_stop(self) -> None:
+    def start_shutdown(self) -> None:
         """Ends each connection with its next response; new ones are still served."""
         self._stopping.set()
 
@@ -130,7 +130,7 @@
         :param timeout_s: longest wait; a request that lasts longer is cut off.
         :returns: whether every request had ended.
         """
-        self.begin_stop()
+        self.start_shutdown()
         deadline_s = time.monotonic() + timeout_s
         self._server.trigger.pull_trigger(self._close_listener)
         while self._server.active_channels and time.monotonic() < deadline_s:
@@ -154,7 +154,9 @@
 
     def _close_idle_channels(self) -> None:
         for channel in tuple(self._server.active_channels.values()):
-            if not _is_busy(channel) and not _has_input(channel.socket):
+            if not _has_request_in_flight(channel) and not _has_unread_input(
+                channel.socket
+            ):
                 channel.handle_close()
 
     def _close_all(self) -> None:
@@ -166,12 +168,12 @@
             self._server.run()
 
 
-def _is_busy(channel: HTTPChannel) -> bool:
+def _has_request_in_flight(channel: HTTPChannel) -> bool:
     is_receiving = channel.request is not None
     return bool(is_receiving or channel.requests or channel.total_outbufs_len)
 
 
-def _has_input(connection: socket.socket) -> bool:
+def _has_unread_input(connection: socket.socket) -> bool:
     poll = select.poll()
     poll.register(connection, select.POLLIN)
     return any(events & select.POLLIN for _, events in poll.poll(0))
--- a/src/sycamorecroft/entry/tests/test_security.py
+++ b/src/sycamorecroft/entry/tests/test_security.py
@@ -16,11 +16,11 @@
     load_parameters,
     load_template,
 )
-from sycamorecroft.entry.application import Application, Route, json_answer
+from sycamorecroft.entry.application import Application, Route, json_response
 from sycamorecroft.entry.callers import CallerHandlers
 from sycamorecroft.entry.jobs import JobHandlers
-from sycamorecroft.entry.request_record import RequestRecords
-from sycamorecroft.entry.request_report import LINES_BURST_COUNT, RequestReporter
+from sycamorecroft.entry.request_records import RequestRecords
+from sycamorecroft.entry.request_report import LOG_BURST_COUNT, RequestReporter
 from sycamorecroft.jobs import JobStore
 from sycamorecroft.routing.execution import (
     Execution,
@@ -92,7 +92,7 @@
 
 
 def _operate(token, headers=None, address="127.0.0.1", path=STATUS):
-    routes = (Route("GET", STATUS, lambda request, request_id: json_answer({})),)
+    routes = (Route("GET", STATUS, lambda request, request_id: json_response({})),)
     client = Client(Application(routes, None, None, token))
     environ = {"REMOTE_ADDR": address}
     return client.get(path, headers=headers, environ_overrides=environ).status_code
@@ -193,7 +193,7 @@
             client.post("/v1/services/rating/requests")
         clock.advance(1.0)
         client.post("/v1/services/rating/requests")
-    assert len(lines) == LINES_BURST_COUNT + 1
-    assert lines[-1]["suppressed_count"] == 300 - LINES_BURST_COUNT
+    assert len(lines) == LOG_BURST_COUNT + 1
+    assert lines[-1]["suppressed_count"] == 300 - LOG_BURST_COUNT
     (count,) = records.recent_counts()
     assert count.count == 100
--- a/src/sycamorecroft/entry/tests/test_server.py
+++ b/src/sycamorecroft/entry/tests/test_server.py
@@ -9,7 +9,7 @@
 import pytest
 
 from standins.site import ROOT
-from sycamorecroft.entry.server import EntryServer
+from sycamorecroft.entry.server import HttpServer
 from sycamorecroft.settings import load_settings
 
 STOP_TIMEOUT_S = 10.0
@@ -42,7 +42,7 @@
             slow_sender_timeout_s=1.0,
         )
         self.application = _Application()
-        self.server = EntryServer(self.application, settings)
+        self.server = HttpServer(self.application, settings)
         self.server.start()
         self.port = port
         self.results: list[bool] = []
@@ -80,7 +80,7 @@
     """Guards against responses of status 500 for the whole grace period: a WSGI
     application may not set the header ``Connection``."""
     before = site.connect().getresponse()
-    site.server.begin_stop()
+    site.server.start_shutdown()
     after = site.connect().getresponse()
     assert (before.status, before.headers["Connection"]) == (200, None)
     assert (after.status, after.headers["Connection"]) == (200, "close")
--- a/src/sycamorecroft/membership/__init__.py
+++ b/src/sycamorecroft/membership/__init__.py
@@ -1,8 +1,8 @@
-"""Membership of the entry hosts and ownership of service queues."""
+"""Membership of the entry hosts and assignment of service queues to them."""
 
-from sycamorecroft.membership.ownership import owner_of, owners_of
+from sycamorecroft.membership.ownership import owner_of, rank_owners
 from sycamorecroft.membership.state import (
-    Evidence,
+    FailureEvidence,
     MemberDigest,
     MembershipState,
     MembershipView,
@@ -10,11 +10,11 @@
 )
 
 __all__ = [
-    "Evidence",
+    "FailureEvidence",
     "MemberDigest",
     "MembershipState",
     "MembershipView",
     "ServiceDemand",
     "owner_of",
-    "owners_of",
+    "rank_owners",
 ]
--- a/src/sycamorecroft/membership/actor.py
+++ b/src/sycamorecroft/membership/actor.py
@@ -11,12 +11,12 @@
 from sycamorecroft.clock import Clock
 from sycamorecroft.concurrency import DaemonActor, PublishedValue
 from sycamorecroft.membership.state import (
-    Evidence,
+    FailureEvidence,
     MemberDigest,
     MembershipState,
     MembershipView,
     ServiceDemand,
-    without_counters,
+    without_volatile_fields,
 )
 
 _log = structlog.get_logger()
@@ -24,7 +24,7 @@
 GOSSIP_FANOUT_COUNT = 1
 
 
-class OwnVersions(NamedTuple):
+class LocalVersions(NamedTuple):
     """What this daemon tells about itself in each gossip round."""
 
     staged_version: int
@@ -46,24 +46,24 @@
     digests: tuple[MemberDigest, ...]
 
 
-class GossipAnswered(NamedTuple):
+class GossipReplied(NamedTuple):
     """A peer answered with its digests, or not in time."""
 
     peer: str
     digests: tuple[MemberDigest, ...] | None
 
 
-class CheckPeer(NamedTuple):
+class ProbePeer(NamedTuple):
     """Check directly whether a peer is alive."""
 
     peer: str
 
 
-class PeerChecked(NamedTuple):
+class PeerProbed(NamedTuple):
     """Result of a direct check; ``evidence`` ``None`` means alive."""
 
     peer: str
-    evidence: Evidence | None
+    evidence: FailureEvidence | None
 
 
 class SetRegistered(NamedTuple):
@@ -88,7 +88,7 @@
         """Sends digests without waiting for the answer."""
 
     @abstractmethod
-    def probe(self) -> Evidence | None:
+    def probe(self) -> FailureEvidence | None:
         """
         :returns: ``None`` if the peer answers.
         """
@@ -108,23 +108,23 @@
         state: MembershipState,
         peers: Mapping[str, GossipPeer],
         clock: Clock,
-        own_versions: Callable[[], OwnVersions],
+        local_versions: Callable[[], LocalVersions],
         published: PublishedValue[MembershipView | None],
-        listener: Callable[[MembershipView], None],
+        on_change: Callable[[MembershipView], None],
         rng: random.Random,
     ) -> None:
         super().__init__()
         self._state = state
         self._peers = peers
         self._clock = clock
-        self._own_versions = own_versions
+        self._local_versions = local_versions
         self._published = published
-        self._listener = listener
-        self._random = rng
+        self._on_change = on_change
+        self._rng = rng
         self._is_leaving = False
-        self._live: tuple[str, ...] = ()
-        self._stable: MembershipView | None = None
-        self._checking: set[str] = set()
+        self._last_live: tuple[str, ...] = ()
+        self._last_stable_view: MembershipView | None = None
+        self._probed_peers: set[str] = set()
         self._executor = ThreadPoolExecutor(max(1, len(peers)), "peer-check")
 
     def on_stop(self) -> None:
@@ -135,13 +135,13 @@
             case GossipTick():
                 self._gossip()
             case GossipReceived(sender, digests):
-                return self._receive(sender, digests)
-            case GossipAnswered(peer, digests):
-                self._answered(peer, digests)
-            case CheckPeer(peer):
-                self._check(peer)
-            case PeerChecked(peer, evidence):
-                self._checked(peer, evidence)
+                return self._handle_gossip(sender, digests)
+            case GossipReplied(peer, digests):
+                self._handle_reply(peer, digests)
+            case ProbePeer(peer):
+                self._start_probe(peer)
+            case PeerProbed(peer, evidence):
+                self._handle_probe_result(peer, evidence)
             case SetRegistered(entries):
                 self._state.set_registered(entries)
                 self._publish()
@@ -154,31 +154,33 @@
         self._refresh_own()
         digests = self._state.digests()
         names = sorted(self._peers)
-        for name in self._random.sample(names, min(fanout_count, len(names))):
-            self._peers[name].gossip(digests, self._forward_answer)
+        for peer in self._rng.sample(names, min(fanout_count, len(names))):
+            self._peers[peer].gossip(digests, self._forward_reply)
         self._publish()
 
     def _refresh_own(self) -> None:
-        versions = self._own_versions()
+        versions = self._local_versions()
         if self._is_leaving:
             versions = versions._replace(may_own_queues=False)
-        self._state.advance(self._state.own._replace(**versions._asdict()))
+        self._state.start_round(self._state.own._replace(**versions._asdict()))
 
-    def _forward_answer(
+    def _forward_reply(
         self, peer: str, digests: tuple[MemberDigest, ...] | None
     ) -> None:
         if self.actor_ref.is_alive():
-            self.actor_ref.tell(GossipAnswered(peer, digests))
+            self.actor_ref.tell(GossipReplied(peer, digests))
 
-    def _receive(
+    def _handle_gossip(
         self, sender: str, digests: tuple[MemberDigest, ...]
     ) -> tuple[MemberDigest, ...]:
         self._merge(sender, digests)
         return self._state.digests()
 
-    def _answered(self, peer: str, digests: tuple[MemberDigest, ...] | None) -> None:
+    def _handle_reply(
+        self, peer: str, digests: tuple[MemberDigest, ...] | None
+    ) -> None:
         if digests is None:
-            self._check(peer)
+            self._start_probe(peer)
             return
         self._merge(peer, digests)
 
@@ -186,40 +188,42 @@
         """Merges digests; publishes only news, as each gossip round publishes all."""
         now_s = self._clock.monotonic_s()
         is_changed = self._state.merge(digests, now_s)
-        if self._state.hear_from(peer, now_s) or is_changed:
+        if self._state.record_contact(peer, now_s) or is_changed:
             self._publish()
 
-    def _check(self, peer: str) -> None:
-        if peer not in self._peers or peer in self._checking:
+    def _start_probe(self, peer: str) -> None:
+        if peer not in self._peers or peer in self._probed_peers:
             return
-        self._checking.add(peer)
-        self._executor.submit(self._run_check, peer)
+        self._probed_peers.add(peer)
+        self._executor.submit(self._run_probe, peer)
 
-    def _run_check(self, peer: str) -> None:
+    def _run_probe(self, peer: str) -> None:
         evidence = self._peers[peer].probe()
         if self.actor_ref.is_alive():
-            self.actor_ref.tell(PeerChecked(peer, evidence))
+            self.actor_ref.tell(PeerProbed(peer, evidence))
 
-    def _checked(self, peer: str, evidence: Evidence | None) -> None:
-        self._checking.discard(peer)
+    def _handle_probe_result(self, peer: str, evidence: FailureEvidence | None) -> None:
+        self._probed_peers.discard(peer)
         if evidence is None:
-            self._state.hear_from(peer, self._clock.monotonic_s())
+            self._state.record_contact(peer, self._clock.monotonic_s())
         else:
             self._state.suspect(peer, evidence)
         self._publish()
 
     def _publish(self) -> None:
         view = self._state.view(self._clock.monotonic_s())
-        if view.live != self._live:
+        if view.live != self._last_live:
             _log.info(
                 "membership_changed",
                 live=list(view.live),
                 reached_count=len(view.reached),
                 expected_count=view.expected_count,
             )
-            self._live = view.live
+            self._last_live = view.live
         self._published.set(view)
-        stable = view._replace(digests=tuple(map(without_counters, view.digests)))
-        if stable != self._stable:
-            self._stable = stable
-            self._listener(view)
+        stable_view = view._replace(
+            digests=tuple(map(without_volatile_fields, view.digests))
+        )
+        if stable_view != self._last_stable_view:
+            self._last_stable_view = stable_view
+            self._on_change(view)
--- a/src/sycamorecroft/membership/ownership.py
+++ b/src/sycamorecroft/membership/ownership.py
@@ -6,12 +6,12 @@
 _WEIGHT_SIZE_BYTES = 8
 
 
-def _weight(key: str, entry: str) -> bytes:
+def _rendezvous_weight(key: str, entry: str) -> bytes:
     text = f"{key}\0{entry}".encode()
     return blake2b(text, digest_size=_WEIGHT_SIZE_BYTES).digest()
 
 
-def owners_of(key: str, entries: Iterable[str]) -> tuple[str, ...]:
+def rank_owners(key: str, entries: Iterable[str]) -> tuple[str, ...]:
     """Orders entry hosts by rendezvous weight for a key.
 
     Only keys of a lost entry host change their owner, and they spread over all others
@@ -21,11 +21,13 @@
     :param entries: names of entry hosts.
     :returns: entry hosts, the owner first and then the order of failover.
     """
-    return tuple(sorted(entries, key=lambda entry: _weight(key, entry), reverse=True))
+    return tuple(
+        sorted(entries, key=lambda entry: _rendezvous_weight(key, entry), reverse=True)
+    )
 
 
 def owner_of(key: str, entries: Iterable[str]) -> str | None:
     """
     :returns: the owner of ``key``, or ``None`` if there is no entry host.
     """
-    return max(entries, key=lambda entry: _weight(key, entry), default=None)
+    return max(entries, key=lambda entry: _rendezvous_weight(key, entry), default=None)
--- a/src/sycamorecroft/membership/state.py
+++ b/src/sycamorecroft/membership/state.py
@@ -34,7 +34,7 @@
     demands: tuple[ServiceDemand, ...] = ()
 
 
-class Evidence(StrEnum):
+class FailureEvidence(StrEnum):
     """Why a member is taken for dead.
 
     A refused connection proves that the daemon's process doesn't run, whereas silence
@@ -42,7 +42,7 @@
     """
 
     REFUSED = "refused"
-    SILENT = "silent"
+    UNREACHABLE = "silent"
 
 
 class MembershipView(NamedTuple):
@@ -68,16 +68,16 @@
 
     def __init__(self) -> None:
         self.digest: MemberDigest | None = None
-        self.risen_at_s = float("-inf")
-        self.evidence: Evidence | None = Evidence.SILENT
+        self.counter_advanced_s = float("-inf")
+        self.evidence: FailureEvidence | None = FailureEvidence.UNREACHABLE
 
     def is_live(self, now_s: float) -> bool:
         if self.digest is None or self.evidence is not None:
             return False
-        return now_s - self.risen_at_s < SUSPICION_TIMEOUT_S
+        return now_s - self.counter_advanced_s < SUSPICION_TIMEOUT_S
 
     def is_stopped(self) -> bool:
-        return self.evidence is Evidence.REFUSED
+        return self.evidence is FailureEvidence.REFUSED
 
 
 class MembershipState:
@@ -97,7 +97,7 @@
         """Latest digest of this daemon."""
         return self._own
 
-    def advance(self, own: MemberDigest) -> None:
+    def start_round(self, own: MemberDigest) -> None:
         """Starts a gossip round with fresh versions of this daemon.
 
         :param own: the versions to tell; entry, incarnation and counter are kept.
@@ -124,16 +124,16 @@
         is_changed = False
         for digest in digests:
             if digest.entry == self._own.entry:
-                is_changed |= self._supersede_earlier_start(digest)
+                is_changed |= self._adopt_later_incarnation(digest)
             elif digest.entry in self._peers:
                 peer = self._peers[digest.entry]
-                former, was_live = peer.digest, peer.is_live(now_s)
+                previous, was_live = peer.digest, peer.is_live(now_s)
                 self._merge_peer(peer, digest, now_s)
                 is_changed |= peer.is_live(now_s) != was_live
-                is_changed |= _differs(former, peer.digest)
+                is_changed |= _has_stable_change(previous, peer.digest)
         return is_changed
 
-    def _supersede_earlier_start(self, digest: MemberDigest) -> bool:
+    def _adopt_later_incarnation(self, digest: MemberDigest) -> bool:
         """Takes a later incarnation than one of this entry host that peers relay.
 
         A replaced entry host whose wall clock is behind its predecessor's would
@@ -141,30 +141,30 @@
 
         :returns: whether the incarnation changed.
         """
-        is_outlived = digest.incarnation > self._own.incarnation
-        if is_outlived:
+        is_superseded = digest.incarnation > self._own.incarnation
+        if is_superseded:
             self._own = self._own._replace(incarnation=f"{digest.incarnation}+")
-        return is_outlived
+        return is_superseded
 
     @staticmethod
     def _merge_peer(peer: _Peer, digest: MemberDigest, now_s: float) -> None:
-        held = peer.digest
-        is_newer = held is None or (digest.incarnation, digest.counter) > (
-            held.incarnation,
-            held.counter,
+        current = peer.digest
+        is_newer = current is None or (digest.incarnation, digest.counter) > (
+            current.incarnation,
+            current.counter,
         )
         if not is_newer:
             return
-        restarted = held is not None and digest.incarnation > held.incarnation
-        if peer.evidence is Evidence.REFUSED and not restarted:
+        has_restarted = current is not None and digest.incarnation > current.incarnation
+        if peer.evidence is FailureEvidence.REFUSED and not has_restarted:
             # A relayed digest of the stopped incarnation may still arrive late.
             peer.digest = digest
             return
         peer.digest = digest
-        peer.risen_at_s = now_s
+        peer.counter_advanced_s = now_s
         peer.evidence = None
 
-    def hear_from(self, entry: str, now_s: float) -> bool:
+    def record_contact(self, entry: str, now_s: float) -> bool:
         """Records that ``entry`` itself answered or called just now.
 
         :returns: whether it was taken for dead before.
@@ -174,10 +174,10 @@
             return False
         was_live = peer.is_live(now_s)
         peer.evidence = None
-        peer.risen_at_s = now_s
+        peer.counter_advanced_s = now_s
         return not was_live
 
-    def suspect(self, entry: str, evidence: Evidence) -> None:
+    def suspect(self, entry: str, evidence: FailureEvidence) -> None:
         """Takes ``entry`` for dead until it is heard of again."""
         peer = self._peers.get(entry)
         if peer is not None:
@@ -192,21 +192,23 @@
         :param now_s: monotonic time in seconds.
         :returns: snapshot of the membership.
         """
-        reached = {e for e, peer in self._peers.items() if peer.is_live(now_s)}
-        stopped = {e for e, peer in self._peers.items() if peer.is_stopped()}
+        reached = {entry for entry, peer in self._peers.items() if peer.is_live(now_s)}
+        stopped = {entry for entry, peer in self._peers.items() if peer.is_stopped()}
         expected = reached | ((self._registered & set(self._peers)) - stopped)
         reached.add(self._own.entry)
         digests = self.digests()
         return MembershipView(
             own_entry=self._own.entry,
-            live=tuple(sorted(self._owners(reached, digests))),
+            live=tuple(sorted(self._eligible_owners(reached, digests))),
             reached=tuple(sorted(reached)),
             expected_count=len(expected) + 1,
             digests=digests,
         )
 
     @staticmethod
-    def _owners(reached: set[str], digests: Iterable[MemberDigest]) -> set[str]:
+    def _eligible_owners(
+        reached: set[str], digests: Iterable[MemberDigest]
+    ) -> set[str]:
         """
         :returns: entry hosts among which queues are assigned. If none is registered,
             because all were replaced during one store outage, all of them are: no
@@ -216,16 +218,18 @@
         return (reached & registered) or reached
 
 
-def without_counters(digest: MemberDigest) -> MemberDigest:
+def without_volatile_fields(digest: MemberDigest) -> MemberDigest:
     """
     :returns: the digest without what changes in each round: counter, age and demands.
     """
     return digest._replace(counter=0, store_contact_age_ms=0, demands=())
 
 
-def _differs(former: MemberDigest | None, digest: MemberDigest | None) -> bool:
-    if former is digest:
+def _has_stable_change(
+    previous: MemberDigest | None, digest: MemberDigest | None
+) -> bool:
+    if previous is digest:
         return False
-    if former is None or digest is None:
+    if previous is None or digest is None:
         return True
-    return without_counters(former) != without_counters(digest)
+    return without_volatile_fields(previous) != without_volatile_fields(digest)
--- a/src/sycamorecroft/membership/tests/test_state.py
+++ b/src/sycamorecroft/membership/tests/test_state.py
@@ -3,11 +3,11 @@
 import pytest
 
 from sycamorecroft.membership import (
-    Evidence,
+    FailureEvidence,
     MemberDigest,
     MembershipState,
     owner_of,
-    owners_of,
+    rank_owners,
 )
 
 ENTRIES = tuple(f"entry-{number}" for number in range(1, 10))
@@ -27,7 +27,7 @@
 
 def test_silent_member_loses_its_queues_but_still_counts(state):
     # Guards against two owners that both use all slots on both sides of a partition.
-    state.suspect("entry-2", Evidence.SILENT)
+    state.suspect("entry-2", FailureEvidence.UNREACHABLE)
     view = state.view(0.1)
     assert "entry-2" not in view.live
     assert (len(view.reached), view.expected_count) == (8, 9)
@@ -35,14 +35,14 @@
 
 def test_stopped_member_no_longer_counts(state):
     # Guards against slots left idle after a daemon was killed.
-    state.suspect("entry-2", Evidence.REFUSED)
+    state.suspect("entry-2", FailureEvidence.REFUSED)
     view = state.view(0.1)
     assert (len(view.reached), view.expected_count) == (8, 8)
 
 
 def test_late_digest_of_a_stopped_process_does_not_revive_it(state):
     # Guards against queues assigned to a killed daemon by gossip that is still relayed.
-    state.suspect("entry-2", Evidence.REFUSED)
+    state.suspect("entry-2", FailureEvidence.REFUSED)
     state.merge([digest("entry-2", counter=9)], 0.1)
     assert "entry-2" not in state.view(0.1).live
     state.merge([digest("entry-2", incarnation="b")], 0.2)
@@ -60,7 +60,7 @@
 
 def test_registration_that_expired_frees_the_share_of_slots(state):
     # Guards against a share that stays reduced after a host is gone for good.
-    state.suspect("entry-2", Evidence.SILENT)
+    state.suspect("entry-2", FailureEvidence.UNREACHABLE)
     state.set_registered(frozenset(ENTRIES) - {"entry-2"})
     assert state.view(0.1).expected_count == 8
 
@@ -79,7 +79,7 @@
     assert "entry-2" not in state.view(0.1).live
     newer = [digest(entry, counter=3, may_own=False) for entry in ENTRIES[1:]]
     state.merge(newer, 0.1)
-    state.advance(digest("entry-1", may_own=False))
+    state.start_round(digest("entry-1", may_own=False))
     assert state.view(0.2).live == ENTRIES
 
 
@@ -89,7 +89,7 @@
     for key in KEYS:
         former, now = owner_of(key, ENTRIES), owner_of(key, left)
         assert now == former or former == ENTRIES[-1]
-        assert owners_of(key, ENTRIES)[0] == former
+        assert rank_owners(key, ENTRIES)[0] == former
     counts = [sum(owner_of(k, ENTRIES) == e for k in KEYS) for e in ENTRIES]
     assert min(counts) >= len(KEYS) / len(ENTRIES) / 3
     assert owner_of("rating", ()) is None
--- a/src/sycamorecroft/node/node.py
+++ b/src/sycamorecroft/node/node.py
@@ -9,7 +9,7 @@
 
 from sycamorecroft.clock import Clock
 from sycamorecroft.concurrency import PublishedValue
-from sycamorecroft.entry.server import EntryServer, ServerSettings
+from sycamorecroft.entry.server import HttpServer, ServerSettings
 from sycamorecroft.errors import RecordError
 from sycamorecroft.logs import LineWriter
 from sycamorecroft.metrics import (
@@ -140,7 +140,7 @@
         connection = PlatformConnection(address, timeout_s=ADVICE_TIMEOUT_S)
         return HttpAdviceCalls(connection)
 
-    def _create_servers(self) -> tuple[EntryServer, EntryServer, EntryServer]:
+    def _create_servers(self) -> tuple[HttpServer, HttpServer, HttpServer]:
         settings = self._settings
         application = JobApplication(
             self._router.get,
@@ -163,9 +163,9 @@
         )
         metrics = ready._replace(http_address=settings.metrics_address)
         return (
-            EntryServer(application, front),
-            EntryServer(self._readiness, ready),
-            EntryServer(self._telemetry, metrics),
+            HttpServer(application, front),
+            HttpServer(self._readiness, ready),
+            HttpServer(self._telemetry, metrics),
         )
 
     def _register_gauges(self) -> None:
@@ -222,7 +222,7 @@
         self._readiness.mark_stopping()
         self.supervisor.stop()
         front = self._servers[0]
-        front.begin_stop()
+        front.start_shutdown()
         self._sleep(BALANCER_UPDATE_S)
         remaining_s = self._settings.bounds.grace_s - BALANCER_UPDATE_S - STOP_MARGIN_S
         is_drained = front.stop(max(0.1, remaining_s))
--- a/src/sycamorecroft/rpc/client.py
+++ b/src/sycamorecroft/rpc/client.py
@@ -11,7 +11,7 @@
 
 from sycamorecroft.clock import Clock
 from sycamorecroft.membership.actor import GossipPeer
-from sycamorecroft.membership.state import Evidence, MemberDigest
+from sycamorecroft.membership.state import FailureEvidence, MemberDigest
 from sycamorecroft.rpc.codec import (
     RequesterBatch,
     decode_owner_batch,
@@ -85,11 +85,11 @@
         """Sends digests without waiting.
 
         :param callback: called with the peer's name and its digests, or ``None`` if
-            there was no answer in time, from the thread of the loop.
+            there was no reply in time, from the thread of the loop.
         """
-        self._loop.submit(self._gossip_and_tell(digests, callback))
+        self._loop.submit(self._gossip_and_notify(digests, callback))
 
-    async def _gossip_and_tell(
+    async def _gossip_and_notify(
         self, digests: tuple[MemberDigest, ...], callback: GossipCallback
     ) -> None:
         callback(self.entry, await self._gossip(digests))
@@ -99,14 +99,14 @@
     ) -> tuple[MemberDigest, ...] | None:
         message = self._gossip_codec.encode(self.entry, digests)
         try:
-            answer = await self._stub.Gossip(message, timeout=GOSSIP_TIMEOUT_S)
+            reply = await self._stub.Gossip(message, timeout=GOSSIP_TIMEOUT_S)
         except grpc.RpcError:
             return None
-        return self._gossip_codec.decode(self.entry, answer)
+        return self._gossip_codec.decode(self.entry, reply)
 
     def snapshot(self) -> DaemonSnapshot | None:
         """
-        :returns: what the peer holds, ``None`` if it isn't ready or doesn't answer.
+        :returns: what the peer holds, ``None`` if it isn't ready or doesn't reply.
         """
         try:
             return self._loop.submit(self._snapshot()).result(_WAIT_TIMEOUT_S)
@@ -124,23 +124,23 @@
             pool_view=reply.pool_view,
         )
 
-    def probe(self) -> Evidence | None:
-        """Checks directly whether the peer's process listens and answers.
+    def probe(self) -> FailureEvidence | None:
+        """Checks directly whether the peer's process listens and replies.
 
-        :returns: ``None`` if it answers.
+        :returns: ``None`` if it replies.
         """
         host, _, port = self._address.rpartition(":")
         try:
             socket.create_connection((host, int(port)), GOSSIP_TIMEOUT_S).close()
         except ConnectionRefusedError:
-            return Evidence.REFUSED
+            return FailureEvidence.REFUSED
         except OSError:
-            return Evidence.SILENT
+            return FailureEvidence.UNREACHABLE
         try:
-            answer = self._loop.submit(self._gossip(())).result(_WAIT_TIMEOUT_S)
+            reply = self._loop.submit(self._gossip(())).result(_WAIT_TIMEOUT_S)
         except TimeoutError:
-            answer = None
-        return Evidence.SILENT if answer is None else None
+            reply = None
+        return FailureEvidence.UNREACHABLE if reply is None else None
 
     def send(self, batch: RequesterBatch) -> None:
         """Queues a batch for the slot stream; never blocks."""
@@ -149,7 +149,7 @@
 
     def start(self, listener: OwnerListener) -> None:
         """Opens the slot stream and keeps it open until :meth:`stop`."""
-        self._stream = self._loop.submit(self._keep_stream(listener))
+        self._stream = self._loop.submit(self._maintain_stream(listener))
 
     def stop(self) -> None:
         """Closes the stream and the channel."""
@@ -157,10 +157,10 @@
             self._stream.cancel()
         self._loop.submit(self._channel.close(None))
 
-    async def _keep_stream(self, listener: OwnerListener) -> None:
+    async def _maintain_stream(self, listener: OwnerListener) -> None:
         while True:
             if await self._read_stream(listener):
-                listener.stream_broken(self.entry)
+                listener.on_stream_broken(self.entry)
             await asyncio.sleep(_RECONNECT_DELAY_S)
 
     async def _read_stream(self, listener: OwnerListener) -> bool:
@@ -168,27 +168,29 @@
 
         :returns: whether the stream was open.
         """
-        outbox = self._renew_outbox()
+        outbox = self._replace_outbox()
         outbox.put(RequesterBatch(sender=self._own_entry))
         is_open = False
         try:
-            async for message in self._stub.Slots(self._encoded(outbox)):
+            async for message in self._stub.Slots(self._encoded_batches(outbox)):
                 if not is_open:
                     is_open = True
-                    listener.stream_opened(self.entry)
+                    listener.on_stream_opened(self.entry)
                 batch = decode_owner_batch(message, self._own_entry)
                 listener.receive_from_owner(self.entry, batch)
         except grpc.RpcError:
             pass
         return is_open
 
-    def _renew_outbox(self) -> Outbox[RequesterBatch]:
+    def _replace_outbox(self) -> Outbox[RequesterBatch]:
         """Drops what waits for the former stream; the requester sends it again."""
         with self._outbox_lock:
             self._outbox.close()
             self._outbox = Outbox(self._loop, merge_requester_batches)
             return self._outbox
 
-    async def _encoded(self, outbox: Outbox[RequesterBatch]) -> AsyncIterator[Any]:
+    async def _encoded_batches(
+        self, outbox: Outbox[RequesterBatch]
+    ) -> AsyncIterator[Any]:
         async for batch in outbox.batches():
             yield encode_requester_batch(batch, self._clock.monotonic_s())
--- a/src/sycamorecroft/rpc/codec.py
+++ b/src/sycamorecroft/rpc/codec.py
@@ -36,30 +36,32 @@
     queued: tuple[str, ...] = ()
 
 
-def _remaining_ms(deadline_s: float, now_s: float) -> int:
+def _to_remaining_ms(deadline_s: float, now_s: float) -> int:
     return max(0, int((deadline_s - now_s) * _MS_PER_S))
 
 
 def merge_requester_batches(batches: Iterable[RequesterBatch]) -> RequesterBatch:
     """Joins batches of one sender in their order."""
-    parts = tuple(batches)
+    ordered = tuple(batches)
     return RequesterBatch(
-        sender=parts[0].sender,
-        requests=tuple(item for part in parts for item in part.requests),
-        releases=tuple(item for part in parts for item in part.releases),
-        held=tuple(item for part in parts for item in part.held),
-        synced_services=tuple(s for part in parts for s in part.synced_services),
+        sender=ordered[0].sender,
+        requests=tuple(item for batch in ordered for item in batch.requests),
+        releases=tuple(item for batch in ordered for item in batch.releases),
+        held=tuple(item for batch in ordered for item in batch.held),
+        synced_services=tuple(
+            service for batch in ordered for service in batch.synced_services
+        ),
     )
 
 
 def merge_owner_batches(batches: Iterable[OwnerBatch]) -> OwnerBatch:
     """Joins batches for one requester in their order."""
-    parts = tuple(batches)
+    ordered = tuple(batches)
     return OwnerBatch(
-        grants=tuple(item for part in parts for item in part.grants),
-        refusals=tuple(item for part in parts for item in part.refusals),
-        disclaimed=tuple(item for part in parts for item in part.disclaimed),
-        queued=tuple(item for part in parts for item in part.queued),
+        grants=tuple(item for batch in ordered for item in batch.grants),
+        refusals=tuple(item for batch in ordered for item in batch.refusals),
+        disclaimed=tuple(item for batch in ordered for item in batch.disclaimed),
+        queued=tuple(item for batch in ordered for item in batch.queued),
     )
 
 
@@ -84,7 +86,7 @@
         service=request.service,
         team=request.team,
         urgency=request.urgency,
-        remaining_ms=_remaining_ms(request.deadline_s, now_s),
+        remaining_ms=_to_remaining_ms(request.deadline_s, now_s),
         excluded_hosts=request.excluded_hosts,
     )
 
@@ -92,10 +94,12 @@
 def _encode_release(release: SlotRelease) -> peer_pb2.SlotRelease:
     service_time_s = release.service_time_s
     # 0 means that nothing was dispatched, so a dispatch counts at least 1 ms.
-    milliseconds = 0 if service_time_s is None else max(1, int(service_time_s * 1000))
+    service_time_ms = (
+        0 if service_time_s is None else max(1, int(service_time_s * 1000))
+    )
     return peer_pb2.SlotRelease(
         ticket=release.ticket,
-        service_time_ms=milliseconds,
+        service_time_ms=service_time_ms,
         host_failed=release.host_failed,
     )
 
@@ -105,7 +109,7 @@
         ticket=held.ticket,
         service=held.service,
         host=held.host,
-        remaining_ms=_remaining_ms(held.deadline_s, now_s),
+        remaining_ms=_to_remaining_ms(held.deadline_s, now_s),
     )
 
 
@@ -159,12 +163,14 @@
     """
     return peer_pb2.OwnerMessage(
         grants=[
-            peer_pb2.SlotGrant(ticket=g.ticket, host=g.host, address=g.address)
-            for g in batch.grants
+            peer_pb2.SlotGrant(
+                ticket=grant.ticket, host=grant.host, address=grant.address
+            )
+            for grant in batch.grants
         ],
         refusals=[
-            peer_pb2.SlotRefusal(ticket=r.ticket, reason=r.reason)
-            for r in batch.refusals
+            peer_pb2.SlotRefusal(ticket=refusal.ticket, reason=refusal.reason)
+            for refusal in batch.refusals
         ],
         not_owner=[peer_pb2.NotOwner(ticket=ticket) for ticket in batch.disclaimed],
         queued=batch.queued,
@@ -177,10 +183,12 @@
     """
     return OwnerBatch(
         grants=tuple(
-            SlotGrant(g.ticket, requester, g.host, g.address) for g in message.grants
+            SlotGrant(grant.ticket, requester, grant.host, grant.address)
+            for grant in message.grants
         ),
         refusals=tuple(
-            SlotRefusal(r.ticket, requester, r.reason) for r in message.refusals
+            SlotRefusal(refusal.ticket, requester, refusal.reason)
+            for refusal in message.refusals
         ),
         disclaimed=tuple(disclaimer.ticket for disclaimer in message.not_owner),
         queued=tuple(message.queued),
--- a/src/sycamorecroft/rpc/gossip.py
+++ b/src/sycamorecroft/rpc/gossip.py
@@ -8,11 +8,11 @@
 from sycamorecroft.rpc.generated import peer_pb2
 
 
-class _Facts:
+class _DigestFingerprint:
     """A digest of a member and the fingerprint of what changes rarely in it."""
 
     def __init__(self, digest: MemberDigest) -> None:
-        self.stable = _without_counters(digest)
+        self.stable = _without_heartbeat_fields(digest)
         self.fingerprint = crc32(encode_digest(self.stable).SerializeToString())
 
 
@@ -30,8 +30,8 @@
 
     def __init__(self, own_entry: str) -> None:
         self._own_entry = own_entry
-        self._facts: dict[str, _Facts] = {}
-        self._named: dict[str, dict[str, int]] = {}
+        self._fingerprints: dict[str, _DigestFingerprint] = {}
+        self._peer_fingerprints: dict[str, dict[str, int]] = {}
 
     def encode(
         self, peer: str, digests: Iterable[MemberDigest]
@@ -41,11 +41,11 @@
         :param digests: all digests that this daemon holds; none asks for all of the
             peer's.
         """
-        named = self._named.get(peer, {})
+        peer_fingerprints = self._peer_fingerprints.get(peer, {})
         members, heartbeats = [], []
         for digest in digests:
             fingerprint = self._fingerprint(digest)
-            if named.get(digest.entry) != fingerprint:
+            if peer_fingerprints.get(digest.entry) != fingerprint:
                 members.append(encode_digest(digest))
                 continue
             heartbeat = peer_pb2.Heartbeat(
@@ -67,28 +67,32 @@
         :returns: whole digests, and heartbeats of members whose digests are held.
         """
         members = [decode_digest(member) for member in message.members]
-        named = {beat.entry: beat.fingerprint for beat in message.heartbeats}
-        named.update((digest.entry, _Facts(digest).fingerprint) for digest in members)
-        self._named[peer] = named
-        return (*members, *self._revive(message.heartbeats))
+        peer_fingerprints = {
+            heartbeat.entry: heartbeat.fingerprint for heartbeat in message.heartbeats
+        }
+        peer_fingerprints.update(
+            (digest.entry, _DigestFingerprint(digest).fingerprint) for digest in members
+        )
+        self._peer_fingerprints[peer] = peer_fingerprints
+        return (*members, *self._expand_heartbeats(message.heartbeats))
 
     def _fingerprint(self, digest: MemberDigest) -> int:
-        facts = self._facts.get(digest.entry)
-        if facts is None or facts.stable != _without_counters(digest):
-            facts = self._facts[digest.entry] = _Facts(digest)
-        return facts.fingerprint
+        known = self._fingerprints.get(digest.entry)
+        if known is None or known.stable != _without_heartbeat_fields(digest):
+            known = self._fingerprints[digest.entry] = _DigestFingerprint(digest)
+        return known.fingerprint
 
-    def _revive(
+    def _expand_heartbeats(
         self, heartbeats: Iterable[peer_pb2.Heartbeat]
     ) -> Iterator[MemberDigest]:
-        for beat in heartbeats:
-            facts = self._facts.get(beat.entry)
-            if facts is not None and facts.fingerprint == beat.fingerprint:
-                yield facts.stable._replace(
-                    counter=beat.counter,
-                    store_contact_age_ms=beat.store_contact_age_ms,
+        for heartbeat in heartbeats:
+            known = self._fingerprints.get(heartbeat.entry)
+            if known is not None and known.fingerprint == heartbeat.fingerprint:
+                yield known.stable._replace(
+                    counter=heartbeat.counter,
+                    store_contact_age_ms=heartbeat.store_contact_age_ms,
                 )
 
 
-def _without_counters(digest: MemberDigest) -> MemberDigest:
+def _without_heartbeat_fields(digest: MemberDigest) -> MemberDigest:
     return digest._replace(counter=0, store_contact_age_ms=0)
--- a/src/sycamorecroft/rpc/interfaces.py
+++ b/src/sycamorecroft/rpc/interfaces.py
@@ -47,9 +47,9 @@
         """Takes grants and refusals; must not block."""
 
     @abstractmethod
-    def stream_opened(self, owner: str) -> None:
+    def on_stream_opened(self, owner: str) -> None:
         """The stream to ``owner`` works; what was sent before may be lost."""
 
     @abstractmethod
-    def stream_broken(self, owner: str) -> None:
+    def on_stream_broken(self, owner: str) -> None:
         """The stream to ``owner`` broke."""
--- a/src/sycamorecroft/rpc/loop.py
+++ b/src/sycamorecroft/rpc/loop.py
@@ -30,20 +30,20 @@
         """
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop)
 
-    def call(self, action: Callable[..., object], *arguments: object) -> None:
+    def call_soon(self, function: Callable[..., object], *arguments: object) -> None:
         """Calls a function on the loop; callable from any thread."""
-        self._loop.call_soon_threadsafe(action, *arguments)
+        self._loop.call_soon_threadsafe(function, *arguments)
 
     def stop(self) -> None:
         """Cancels what still runs and ends the thread."""
-        self._loop.call_soon_threadsafe(self._cancel_all)
+        self._loop.call_soon_threadsafe(self._cancel_tasks)
         self._thread.join(_STOP_TIMEOUT_S)
 
     def _run(self) -> None:
         asyncio.set_event_loop(self._loop)
         self._loop.run_forever()
 
-    def _cancel_all(self) -> None:
+    def _cancel_tasks(self) -> None:
         tasks = asyncio.all_tasks(self._loop)
         for task in tasks:
             task.cancel()
--- a/src/sycamorecroft/rpc/outbox.py
+++ b/src/sycamorecroft/rpc/outbox.py
@@ -27,27 +27,27 @@
 
     def put(self, batch: Batch) -> None:
         """Adds a batch; never blocks; callable from any thread."""
-        self._loop.call(self._queue.put_nowait, batch)
+        self._loop.call_soon(self._queue.put_nowait, batch)
 
     def close(self) -> None:
         """Ends the iteration after the batches that wait."""
-        self._loop.call(self._queue.put_nowait, None)
+        self._loop.call_soon(self._queue.put_nowait, None)
 
     async def batches(self) -> AsyncIterator[Batch]:
         """
         :returns: joined batches until the outbox is closed.
         """
         while (first := await self._queue.get()) is not None:
-            waiting = [first]
-            is_closed = self._drain(waiting)
-            yield waiting[0] if len(waiting) == 1 else self._merge(waiting)
+            pending = [first]
+            is_closed = self._take_pending(pending)
+            yield pending[0] if len(pending) == 1 else self._merge(pending)
             if is_closed:
                 return
 
-    def _drain(self, waiting: list[Batch]) -> bool:
-        while len(waiting) < _MERGE_LIMIT_COUNT and not self._queue.empty():
+    def _take_pending(self, pending: list[Batch]) -> bool:
+        while len(pending) < _MERGE_LIMIT_COUNT and not self._queue.empty():
             batch = self._queue.get_nowait()
             if batch is None:
                 return True
-            waiting.append(batch)
+            pending.append(batch)
         return False
--- a/src/sycamorecroft/rpc/server.py
+++ b/src/sycamorecroft/rpc/server.py
@@ -46,13 +46,13 @@
         """Replaces the outbox of a requester that opened a new stream."""
         outbox = Outbox[OwnerBatch](self._loop, merge_owner_batches)
         with self._lock:
-            former = self._outboxes.get(requester)
+            previous = self._outboxes.get(requester)
             self._outboxes[requester] = outbox
-        if former is not None:
-            former.close()
+        if previous is not None:
+            previous.close()
         return outbox
 
-    def drop(self, requester: str, outbox: Outbox[OwnerBatch]) -> None:
+    def discard(self, requester: str, outbox: Outbox[OwnerBatch]) -> None:
         """Closes an outbox unless a newer stream has replaced it."""
         with self._lock:
             if self._outboxes.get(requester) is outbox:
@@ -86,8 +86,8 @@
     async def Gossip(self, request, context):  # noqa: N802
         sender = request.sender
         digests = self._gossip.decode(sender, request)
-        answer = await asyncio.to_thread(self._handler.gossip, sender, digests)
-        return self._gossip.encode(sender, answer)
+        reply = await asyncio.to_thread(self._handler.gossip, sender, digests)
+        return self._gossip.encode(sender, reply)
 
     async def Snapshot(self, request, context):  # noqa: N802
         snapshot = self._handler.snapshot()
@@ -108,7 +108,7 @@
                 yield encode_owner_batch(batch)
         finally:
             reader.cancel()
-            self._outboxes.drop(first.sender, outbox)
+            self._outboxes.discard(first.sender, outbox)
 
     async def _read(
         self,
@@ -117,13 +117,13 @@
         outbox: Outbox[OwnerBatch],
     ) -> None:
         try:
-            self._take(first)
+            self._handle_message(first)
             async for message in request_iterator:
-                self._take(message)
+                self._handle_message(message)
         finally:
-            self._outboxes.drop(first.sender, outbox)
+            self._outboxes.discard(first.sender, outbox)
 
-    def _take(self, message: peer_pb2.RequesterMessage) -> None:
+    def _handle_message(self, message: peer_pb2.RequesterMessage) -> None:
         batch = decode_requester_batch(message, self._clock.monotonic_s())
         self._handler.receive_from_requester(batch)
 
--- a/standins/platform_http.py
+++ b/standins/platform_http.py
@@ -12,7 +12,7 @@
 
 from standins.memory_partitions import MemoryPartitions
 from standins.memory_worker import MemoryWorker
-from sycamorecroft.entry.server import EntryServer, ServerSettings
+from sycamorecroft.entry.server import HttpServer, ServerSettings
 from sycamorecroft.errors import (
     StaleEpochError,
     StoreConflictError,
@@ -33,7 +33,7 @@
     def __init__(self, port: int) -> None:
         self.address = f"127.0.0.1:{port}"
         settings = ServerSettings(self.address, 32, 500, 2**20, 10)
-        self._server = EntryServer(self._serve, settings)
+        self._server = HttpServer(self._serve, settings)
         self._server.start()
 
     def stop(self) -> None:
