--- a/src/sycamorecroft/daemon/controller_manager.py
+++ b/src/sycamorecroft/daemon/controller_manager.py
@@ -1,4 +1,4 @@
-"""Controllers of one daemon: pools, maintenance, jobs and retention."""
+"""Wiring of a daemon's controllers: pools, maintenance, jobs and retention."""
 
 import math
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 
 class ControllerInputs(NamedTuple):
-    """Snapshots that the controllers read."""
+    """Published values that the controllers read."""
 
     configuration: PublishedValue[ConfigurationStatus]
     view: PublishedValue[PoolView]
@@ -39,9 +39,9 @@
 
 
 class ControllerManager:
-    """Runs all controllers for which this entry host is a candidate.
+    """Creates the controllers of a daemon, runs them and releases their leases.
 
-    :param holder: unique for each start of the daemon.
+    :param holder: name under which leases are held; unique for each daemon start.
     """
 
     def __init__(
@@ -79,13 +79,13 @@
         self._jobs = JobControllers(self._job_dependencies(), self._new_lease, clock)
 
     def start(self) -> None:
-        """Starts all controllers."""
+        """Starts the steps of all controllers."""
         for runner in self._runners:
             runner.start()
         self._jobs.start()
 
     def stop(self) -> None:
-        """Ends the controllers and gives their leases up to other entry hosts."""
+        """Stops the controllers and releases their leases, so that others take over."""
         for runner in self._runners:
             runner.stop(_STOP_TIMEOUT_S)
         job_leases = self._jobs.stop(_STOP_TIMEOUT_S)
@@ -97,14 +97,15 @@
 
     def held_leases(self) -> tuple[str, ...]:
         """
-        :returns: names of the leases held here.
+        :returns: names of the leases that this daemon holds, sorted.
         """
         leases = (*self._leases, *self._jobs.leases())
         return tuple(sorted(lease.name for lease in leases if lease.is_held))
 
     def busy_workers(self) -> frozenset[str]:
         """
-        :returns: workers on which a controller held here may have a task running.
+        :returns: workers on which a job controller of this daemon may have running
+            tasks.
         """
         return self._jobs.busy_workers()
 
@@ -126,14 +127,14 @@
     def _runner(
         self, name: str, step: Callable[[], object], lease: ControllerLease
     ) -> ControllerRunner:
-        def logged_step() -> None:
+        def run_step() -> None:
             report = step()
             problem = getattr(report, "problem", "")
             if problem:
                 _log.info("controller_problem", controller=name, problem=problem)
 
         return ControllerRunner(
-            name, logged_step, lambda: lease.is_held, self._inputs.membership.get
+            name, run_step, lambda: lease.is_held, self._inputs.membership.get
         )
 
     def _step_pools(self) -> object:
--- a/src/sycamorecroft/daemon/controller_runner.py
+++ b/src/sycamorecroft/daemon/controller_runner.py
@@ -1,4 +1,4 @@
-"""Runs controllers on the entry hosts that are candidates for their lease."""
+"""Periodic execution of controllers on the candidates for their lease."""
 
 import time
 from collections.abc import Callable
@@ -13,22 +13,23 @@
 
 STEP_INTERVAL_S = 1.0
 
-# A candidate that doesn't hold the lease reads its row this often. A third of the
-# lease's term, so that it adds little to the time until the next holder takes over.
+# Interval at which a candidate without the lease reads the lease row. A third of the
+# lease duration, so that it adds little to the time until the next holder takes over.
 ACQUIRE_INTERVAL_S = 3.0
 
-# Two candidates bound the reads of lease rows, whatever the number of entry hosts;
-# the second one takes over when the first stops.
+# Limiting the candidates bounds the reads of lease rows, whatever the number of entry
+# hosts. The second candidate takes over when the first one stops.
 CANDIDATES_COUNT = 2
 
 
 class ControllerRunner:
-    """Calls a controller's step while this entry host is a candidate for its lease.
+    """Calls a controller's step while this entry host is a candidate for the lease.
 
-    :param name: name of the lease, by which the candidates are chosen.
-    :param step: does one round of work; returns a report for the log or ``None``.
-    :param is_holder: whether the lease is held now; a holder that is no candidate
-        any more goes on until it gives the lease up.
+    :param name: name of the lease, which determines the candidates.
+    :param step: performs one round of work; its result is ignored.
+    :param is_holder: returns whether the lease is held; a holder that is no longer a
+        candidate continues until it loses or releases the lease.
+    :param membership: returns the current membership, ``None`` until it is known.
     """
 
     def __init__(
@@ -46,20 +47,23 @@
         self._ticker = Ticker(f"controller-{name}", STEP_INTERVAL_S, self._run)
 
     def start(self) -> None:
-        """Starts the steps."""
+        """Starts the periodic steps."""
         self._ticker.start()
 
     def stop(self, timeout_s: float) -> None:
-        """Ends the steps; waits for one that runs."""
+        """Stops the periodic steps and waits for a running one.
+
+        :param timeout_s: longest wait in seconds.
+        """
         self._ticker.stop()
         self._ticker.join(timeout_s)
 
     def _run(self) -> None:
-        if self._is_holder() or self._is_due():
+        if self._is_holder() or self._is_attempt_due():
             self._last_attempt_s = time.monotonic()
             self._step()
 
-    def _is_due(self) -> bool:
+    def _is_attempt_due(self) -> bool:
         if time.monotonic() - self._last_attempt_s < ACQUIRE_INTERVAL_S:
             return False
         return is_candidate(self._name, self._membership())
@@ -68,7 +72,8 @@
 def is_candidate(name: str, view: MembershipView | None) -> bool:
     """
     :param name: name of a lease.
-    :returns: whether this entry host should try to hold the lease.
+    :param view: current membership, ``None`` if unknown.
+    :returns: whether this entry host should try to acquire the lease.
     """
     if view is None:
         return False
--- a/src/sycamorecroft/daemon/demand.py
+++ b/src/sycamorecroft/daemon/demand.py
@@ -1,4 +1,4 @@
-"""Demand on the pools, as the owners of the queues tell it by gossip."""
+"""Demand on services and pools, exchanged between queue owners by gossip."""
 
 from collections import Counter
 
@@ -10,8 +10,8 @@
 
 def service_demands(statuses: OwnerStatuses) -> tuple[ServiceDemand, ...]:
     """
-    :param statuses: queues that this entry host owns.
-    :returns: demand on each of them, in slots.
+    :param statuses: statuses of the queues that this entry host owns.
+    :returns: demand on each service, in slots, sorted by service.
     """
     return tuple(
         ServiceDemand(
@@ -27,9 +27,10 @@
 def required_hosts(
     configuration: FleetConfiguration, membership: MembershipView | None, view: PoolView
 ) -> dict[str, float]:
-    """
-    :returns: demand of each pool in hosts at full use; pools whose queues no reached
-        entry host owns are left out.
+    """Converts the gossiped demand in slots to hosts.
+
+    :returns: number of fully used hosts that each pool needs; pools for which no
+        reached entry host reports demand are omitted.
     """
     slots: Counter[str] = Counter()
     for digest in membership.digests if membership else ():
@@ -39,11 +40,11 @@
             service = configuration.services.get(demand.service)
             if service is not None:
                 slots[service.pool] += demand.slots_count
-    sizes = _slots_per_host(view)
+    slots_per_host = _slots_per_host(view)
     return {
-        pool: slots_count / sizes[pool]
+        pool: slots_count / slots_per_host[pool]
         for pool, slots_count in slots.items()
-        if sizes.get(pool)
+        if slots_per_host.get(pool)
     }
 
 
--- a/src/sycamorecroft/daemon/gauges.py
+++ b/src/sycamorecroft/daemon/gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of a daemon, read from its published state."""
+"""Metrics of a daemon that are read from its published state."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class Gauges:
-    """Readers of gauges; none of them blocks."""
+    """Functions that read the values of gauges without blocking."""
 
     def __init__(self, state: OperatorState, tables: GuardedTableService) -> None:
         self._state = state
@@ -20,27 +20,30 @@
     def register(self, telemetry: Telemetry) -> None:
         """Registers all gauges and the counter of store calls."""
         for metric, reader in (
-            (metrics.SLOTS_IN_USE, lambda: self._queues("granted_count")),
-            (metrics.SLOTS_LIMIT, lambda: self._queues("limit_count")),
-            (metrics.WORKERS_EJECTED, lambda: self._queues("ejected_count")),
+            (metrics.SLOTS_IN_USE, lambda: self._queue_values("granted_count")),
+            (metrics.SLOTS_LIMIT, lambda: self._queue_values("limit_count")),
+            (metrics.WORKERS_EJECTED, lambda: self._queue_values("ejected_count")),
             (metrics.REQUESTS_WAITING, self._requests_waiting),
-            (metrics.HOSTS, self._hosts),
-            (metrics.BUDGET_LEFT, lambda: self._pools("budget_left_count")),
-            (metrics.HOSTS_MISSING, lambda: self._pools("missing_count")),
-            (metrics.HOSTS_RESERVE, lambda: self._pools("reserve_count")),
+            (metrics.HOSTS, self._host_counts),
+            (metrics.BUDGET_LEFT, lambda: self._pool_values("budget_left_count")),
+            (metrics.HOSTS_MISSING, lambda: self._pool_values("missing_count")),
+            (metrics.HOSTS_RESERVE, lambda: self._pool_values("reserve_count")),
             (metrics.STAGED_VERSION, self._staged_version),
             (metrics.IN_FORCE_VERSION, self._in_force_version),
-            (metrics.VIEW_VERSION, lambda: _single(self._state.view().version)),
+            (metrics.VIEW_VERSION, lambda: _single_value(self._state.view().version)),
             (metrics.STORE_CONTACT_AGE, self._store_contact_age),
             (metrics.STORE_CALLS, self._store_calls),
             (metrics.ENTRY_HOSTS_REACHED, self._entry_hosts_reached),
             (metrics.ENTRY_HOSTS_EXPECTED, self._entry_hosts_expected),
-            (metrics.REQUESTS_ADMITTED, lambda: _single(self._state.admitted_count())),
+            (
+                metrics.REQUESTS_ADMITTED,
+                lambda: _single_value(self._state.admitted_count()),
+            ),
             (metrics.LEASES_HELD, self._leases_held),
         ):
             telemetry.observe(metric, reader)
 
-    def _queues(self, field: str) -> Iterable[MetricValue]:
+    def _queue_values(self, field: str) -> Iterable[MetricValue]:
         for service, status in self._state.queues().items():
             yield MetricValue(getattr(status, field), {"service": service})
 
@@ -50,13 +53,13 @@
                 attributes = {"service": service, "urgency": urgency.value}
                 yield MetricValue(count, attributes)
 
-    def _hosts(self) -> Iterable[MetricValue]:
+    def _host_counts(self) -> Iterable[MetricValue]:
         hosts = self._state.view().hosts.values()
         counts = Counter((host["pool"], host["state"].value) for host in hosts)
         for (pool, state), count in sorted(counts.items()):
             yield MetricValue(count, {"pool": pool, "state": state})
 
-    def _pools(self, field: str) -> Iterable[MetricValue]:
+    def _pool_values(self, field: str) -> Iterable[MetricValue]:
         for pool in self._pool_statuses():
             yield MetricValue(getattr(pool, field), {"pool": pool.pool})
 
@@ -65,14 +68,14 @@
         return pool_statuses(in_force, self._state.view())
 
     def _staged_version(self) -> Iterable[MetricValue]:
-        return _single(self._state.configuration().staged_version)
+        return _single_value(self._state.configuration().staged_version)
 
     def _in_force_version(self) -> Iterable[MetricValue]:
-        return _single(self._state.configuration().in_force_version)
+        return _single_value(self._state.configuration().in_force_version)
 
     def _store_contact_age(self) -> Iterable[MetricValue]:
         age_s = self._tables.health().contact_age_s
-        return () if age_s is None else _single(age_s)
+        return () if age_s is None else _single_value(age_s)
 
     def _store_calls(self) -> Iterable[MetricValue]:
         for kind, count in self._tables.call_counts():
@@ -85,16 +88,16 @@
 
     def _entry_hosts_reached(self) -> Iterable[MetricValue]:
         membership = self._state.membership()
-        return _single(len(membership.reached) if membership else 0)
+        return _single_value(len(membership.reached) if membership else 0)
 
     def _entry_hosts_expected(self) -> Iterable[MetricValue]:
         membership = self._state.membership()
-        return _single(membership.expected_count if membership else 0)
+        return _single_value(membership.expected_count if membership else 0)
 
     def _leases_held(self) -> Iterable[MetricValue]:
         for name in self._state.held_leases():
             yield MetricValue(1, {"controller": name})
 
 
-def _single(value: float) -> tuple[MetricValue, ...]:
+def _single_value(value: float) -> tuple[MetricValue, ...]:
     return (MetricValue(value, {}),)
--- a/src/sycamorecroft/daemon/job_controllers.py
+++ b/src/sycamorecroft/daemon/job_controllers.py
@@ -1,4 +1,4 @@
-"""Job controllers of all pools on one daemon."""
+"""Periodic execution of the job controllers of all pools on one daemon."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -28,7 +28,7 @@
 
 
 class JobControllerDependencies(NamedTuple):
-    """What job controllers need of a daemon. The callables never block."""
+    """Clients and state that job controllers use. The callables must not block."""
 
     tables: TableService
     tasks: TaskService
@@ -39,7 +39,7 @@
 
 
 class _PoolController:
-    """Controller of one pool with its lease."""
+    """Job controller of one pool, with its lease."""
 
     def __init__(self, controller: JobController, lease: ControllerLease) -> None:
         self.controller = controller
@@ -47,7 +47,7 @@
         self._last_attempt_s = float("-inf")
 
     def step(self, now_s: float) -> None:
-        """Renews or acquires the lease when that is due, and does one round."""
+        """Renews the lease, or tries to acquire it when due, and runs one round."""
         if self.lease.is_held or now_s - self._last_attempt_s >= ACQUIRE_INTERVAL_S:
             self._last_attempt_s = now_s
             try:
@@ -58,26 +58,26 @@
 
 
 class _ListingCache:
-    """Host list that is read at most once in an interval."""
+    """Host list that is read at most once per interval."""
 
     def __init__(self, host_list: HostList, clock: Clock) -> None:
         self._host_list = host_list
         self._clock = clock
         self._listing: HostListing | None = None
-        self._read_s = 0.0
+        self._last_read_s = 0.0
 
     def get(self) -> HostListing:
         now_s = self._clock.monotonic_s()
-        if self._listing is None or now_s - self._read_s >= LISTING_INTERVAL_S:
+        if self._listing is None or now_s - self._last_read_s >= LISTING_INTERVAL_S:
             self._listing = self._host_list.list_hosts()
-            self._read_s = now_s
+            self._last_read_s = now_s
         return self._listing
 
 
 class JobControllers:
-    """Runs the controller of each configured pool for which this is a candidate.
+    """Runs the job controller of each pool for whose lease this is a candidate.
 
-    :param new_lease: makes the lease of a name for this daemon.
+    :param new_lease: creates a lease with the given name for this daemon.
     """
 
     def __init__(
@@ -90,16 +90,17 @@
         self._new_lease = new_lease
         self._clock = clock
         self._listing = _ListingCache(dependencies.host_list, clock)
-        self._pools: dict[str, _PoolController] = {}
+        self._pool_controllers: dict[str, _PoolController] = {}
         self._ticker = Ticker("jobs", STEP_INTERVAL_S, self._step)
 
     def start(self) -> None:
-        """Starts the steps."""
+        """Starts the periodic steps."""
         self._ticker.start()
 
     def stop(self, timeout_s: float) -> tuple[ControllerLease, ...]:
-        """Ends the steps; waits for one that runs.
+        """Stops the periodic steps and waits for a running one.
 
+        :param timeout_s: longest wait in seconds.
         :returns: leases to release.
         """
         self._ticker.stop()
@@ -108,19 +109,21 @@
 
     def leases(self) -> tuple[ControllerLease, ...]:
         """
-        :returns: leases of the pools for which this daemon was a candidate.
+        :returns: leases of all pools for which this daemon has been a candidate.
         """
         return tuple(
-            pool_controller.lease for pool_controller in tuple(self._pools.values())
+            pool_controller.lease
+            for pool_controller in tuple(self._pool_controllers.values())
         )
 
     def busy_workers(self) -> frozenset[str]:
         """
-        :returns: workers on which a controller held here may have a task running.
+        :returns: workers on which a job controller of this daemon may have running
+            tasks.
         """
         busy = (
             pool_controller.controller.busy_workers()
-            for pool_controller in tuple(self._pools.values())
+            for pool_controller in tuple(self._pool_controllers.values())
             if pool_controller.lease.is_held
         )
         return frozenset().union(*busy)
@@ -138,9 +141,9 @@
                 pool_controller.step(self._clock.monotonic_s())
 
     def _controller_of(self, pool: str) -> _PoolController:
-        if pool not in self._pools:
-            self._pools[pool] = self._new_controller(pool)
-        return self._pools[pool]
+        if pool not in self._pool_controllers:
+            self._pool_controllers[pool] = self._new_controller(pool)
+        return self._pool_controllers[pool]
 
     def _new_controller(self, pool: str) -> _PoolController:
         dependencies = self._dependencies
--- a/src/sycamorecroft/daemon/main.py
+++ b/src/sycamorecroft/daemon/main.py
@@ -1,4 +1,4 @@
-"""Entry point of the daemon ``sycamorecroftd``."""
+"""Command-line entry point of the daemon ``sycamorecroftd``."""
 
 import signal
 import sys
@@ -37,22 +37,22 @@
         print(error, file=sys.stderr)
         return EXIT_SETTINGS
     configure_logs(loaded.log_level, loaded.entry)
-    stop = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: stop.set())
+    stop_requested = threading.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: stop_requested.set())
     try:
         daemon = Daemon(loaded, SystemClock())
     except (OSError, RuntimeError) as error:
         structlog.get_logger().error("listener_failed", error=str(error))
         return EXIT_SETTINGS
     daemon.start()
-    while not stop.wait(_CHECK_INTERVAL_S) and not daemon.superseded.is_set():
+    while not stop_requested.wait(_CHECK_INTERVAL_S) and not daemon.superseded.is_set():
         pass
     return EXIT_OK if daemon.stop() else EXIT_REQUESTS_ABORTED
 
 
 def main() -> None:
-    """Runs the daemon with the arguments of the command line."""
+    """Runs the daemon with the command-line arguments and exits with its code."""
     sys.exit(app())
 
 
--- a/src/sycamorecroft/daemon/operator_stores.py
+++ b/src/sycamorecroft/daemon/operator_stores.py
@@ -1,4 +1,4 @@
-"""Stores of the operator interface."""
+"""Creation of the stores that the operator interface uses."""
 
 from sycamorecroft.clock import Clock
 from sycamorecroft.configuration.store import ConfigurationStore
@@ -20,8 +20,8 @@
     jobs: JobStore,
 ) -> OperatorStores:
     """
-    :returns: stores that spend the operators' part of the store budget where they
-        can; the history alone costs one read for each version.
+    :returns: stores that use the operators' share of the store budget where possible,
+        because the configuration history alone needs one read per version.
     """
     tables = platform.tables
     return OperatorStores(
--- a/src/sycamorecroft/daemon/peers.py
+++ b/src/sycamorecroft/daemon/peers.py
@@ -1,4 +1,4 @@
-"""Peers of a daemon: its calls to them, and what it answers."""
+"""Calls between a daemon and its peers, in both directions."""
 
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
@@ -19,11 +19,11 @@
 from sycamorecroft.rpc.codec import OwnerBatch, RequesterBatch
 from sycamorecroft.rpc.interfaces import DaemonSnapshot, OwnerListener, PeerHandler
 
-_GOSSIP_ANSWER_TIMEOUT_S = 0.25
+_GOSSIP_REPLY_TIMEOUT_S = 0.25
 
 
 class PeerSnapshotSource(ConfigurationPeers, ViewPeers):
-    """Fetches configurations and pool views from peers."""
+    """Source of configurations and pool views that fetches snapshots from peers."""
 
     def __init__(self, clients: Mapping[str, PeerClient]) -> None:
         self._clients = clients
@@ -56,7 +56,7 @@
 
 
 class PeerHandlerActors(NamedTuple):
-    """Actors that take what peers send."""
+    """Actors that process the messages of peers."""
 
     membership: pykka.ActorRef
     owner: pykka.ActorRef
@@ -64,11 +64,11 @@
 
 
 class DaemonPeerHandler(PeerHandler, OwnerListener):
-    """Passes calls of peers to the actors of this daemon.
+    """Forwards calls and messages of peers to the actors of this daemon.
 
-    :param configuration: returns what this daemon holds.
+    :param configuration: returns the configuration status of this daemon.
     :param view: returns the pool view of this daemon.
-    :param wake: called with each batch of a requester, so that ticks follow at once.
+    :param wake: called for each batch of a requester, so that ticks become frequent.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         self, sender: str, digests: tuple[MemberDigest, ...]
     ) -> tuple[MemberDigest, ...]:
         return self._actors.membership.ask(
-            GossipReceived(sender, digests), timeout=_GOSSIP_ANSWER_TIMEOUT_S
+            GossipReceived(sender, digests), timeout=_GOSSIP_REPLY_TIMEOUT_S
         )
 
     def snapshot(self) -> DaemonSnapshot | None:
--- a/src/sycamorecroft/daemon/registration.py
+++ b/src/sycamorecroft/daemon/registration.py
@@ -1,4 +1,4 @@
-"""Registers this entry host and reports its grants on hosts that drain."""
+"""Registration of this entry host, with its grants on hosts that are draining."""
 
 import secrets
 from collections.abc import Callable
@@ -20,9 +20,10 @@
 
 
 class GrantReport(NamedTuple):
-    """Grants at one moment: of queues owned here, and held by requests here.
+    """Hosts with grants of queues owned here or held by requests or jobs here.
 
-    ``view_version`` is the pool view that the queues had applied before.
+    ``view_version`` is the version of the pool view that the queues had applied when
+    the grants were read.
     """
 
     view_version: int
@@ -30,11 +31,11 @@
 
 
 class RegistrationReporter:
-    """Renews the registration. Not thread-safe: one ticker calls it.
+    """Renews the registration periodically. Not thread-safe; called by one ticker.
 
-    :param grants: reports grants; must be bounded in time.
+    :param grants: returns the grants; must return within a bounded time.
     :param staged_version: returns the staged configuration version.
-    :param superseded: called once when a later start of this entry host registered.
+    :param on_superseded: called when a later start of this entry host has registered.
     """
 
     def __init__(
@@ -53,16 +54,19 @@
         self._on_superseded = on_superseded
 
     def report(self) -> None:
-        """Writes the row of this entry host; a failure is left to the next call."""
+        """Writes the row of this entry host; the next call retries after a failure."""
         report = self._grants()
-        # Read after the report: a host that drains only in a view newer than the one
-        # acknowledged is asked about again under the newer version.
+        # The view is read after the grants, so it may be newer than the version being
+        # acknowledged. Grants on a host that drains only in the newer view will be
+        # asked for again under that version.
         view = self._view()
         try:
             self._registration.renew(
                 view_version=report.view_version,
                 staged_version=self._staged_version(),
-                granted_hosts=[h for h in report.hosts if not _is_active(view, h)],
+                granted_hosts=[
+                    host for host in report.hosts if not _is_active(view, host)
+                ],
             )
         except NotLeaseHolderError as error:
             _log.error("registration_superseded", error=str(error))
@@ -79,8 +83,8 @@
 def registered_entry_hosts(table: TableService, now: datetime) -> frozenset[str] | None:
     """
     :param now: wall time.
-    :returns: entry hosts whose registration hasn't expired; ``None`` if the store
-        gave no answer.
+    :returns: entry hosts whose registration has not expired; ``None`` if the store is
+        unavailable.
     """
     try:
         scan = table.scan(ENTRIES_TABLE, purpose=StorePurpose.VIEW)
@@ -97,6 +101,6 @@
 
 def new_incarnation(now: datetime) -> str:
     """
-    :returns: name of this start; names compare as strings in the order of starts.
+    :returns: name of this daemon start; names sort in the order of starts.
     """
     return f"{now:%Y%m%dT%H%M%S.%f}-{secrets.token_hex(4)}"
--- a/src/sycamorecroft/daemon/request_path.py
+++ b/src/sycamorecroft/daemon/request_path.py
@@ -1,4 +1,4 @@
-"""Parts that carry a caller's request from admission to a backend server."""
+"""Components that process callers' requests, from admission to dispatch."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 
 class RequestPath(NamedTuple):
-    """Parts that all requests of an entry host share."""
+    """Components that all requests of an entry host share."""
 
     limit: EntryLimit
     claims: ClaimService
@@ -33,8 +33,9 @@
     wake: Callable[[], None],
 ) -> RequestPath:
     """
-    :param requester: reference of the actor that owns the slot requests.
-    :param wake: called before a slot is requested, so that ticks become frequent.
+    :param requester: reference to the actor that manages slot requests.
+    :param wake: called before each slot request, so that ticks become frequent.
+    :returns: components with the limits of the settings.
     """
     limit = EntryLimit(
         1,
--- a/src/sycamorecroft/daemon/retention.py
+++ b/src/sycamorecroft/daemon/retention.py
@@ -1,4 +1,4 @@
-"""Removal of claims and ended jobs that are older than the kept days."""
+"""Removal of claims and finished jobs that are older than the retention period."""
 
 from sycamorecroft.claims.records import CLAIMS_DAY_TABLES
 from sycamorecroft.clock import Clock
@@ -6,14 +6,14 @@
 from sycamorecroft.store.day_index import DayRetention
 from sycamorecroft.store.interfaces import ObjectStore, TableService
 
-# Once all days before the kept ones are swept, there is nothing to do until midnight.
+# Once all days before the retention period are swept, nothing expires until midnight.
 IDLE_INTERVAL_S = 30.0
 
 
 class Retention:
-    """Sweeps both indexes, quickly while there is something to remove.
+    """Sweeps the day indexes of claims and jobs; pauses while nothing has expired.
 
-    Not thread-safe; one ticker calls it.
+    Not thread-safe; called by one ticker.
     """
 
     def __init__(
@@ -27,8 +27,9 @@
         self._idle_until_s = float("-inf")
 
     def step(self) -> int:
-        """
-        :returns: how many rows were removed.
+        """Sweeps one part of each index unless the sweep is paused.
+
+        :returns: number of rows removed.
         """
         now_s = self._clock.monotonic_s()
         if now_s < self._idle_until_s:
--- a/src/sycamorecroft/daemon/routing_ticker.py
+++ b/src/sycamorecroft/daemon/routing_ticker.py
@@ -1,4 +1,4 @@
-"""Ticks of the routing actors, often only while there is something to do."""
+"""Adaptive ticks of the routing actors: frequent under load, rare when idle."""
 
 import threading
 import time
@@ -10,16 +10,16 @@
 
 BUSY_INTERVAL_S = 0.05
 IDLE_INTERVAL_S = 0.5
-# After a wake-up, ticks stay frequent for this long: the message that woke may wait in
-# the mailbox of an actor, so that nothing is known to be busy yet.
+# Ticks stay frequent for this long after a wake-up: the message that caused it may
+# still be in an actor's mailbox, so that no actor reports to be busy yet.
 WAKE_DURATION_S = 1.0
 
 
 class RoutingTicker:
-    """Calls an action often while requests are under way, and rarely at rest.
+    """Sends ticks frequently while requests are in flight and rarely when idle.
 
     :param tick: sends the ticks; must not block.
-    :param is_busy: whether requests wait or hold slots.
+    :param is_busy: returns whether requests are waiting or hold slots.
     """
 
     def __init__(
@@ -32,16 +32,16 @@
         self._thread = threading.Thread(target=self._run, name="routing", daemon=True)
 
     def start(self) -> None:
-        """Starts the ticks."""
+        """Starts the periodic ticks."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends the ticks without waiting for one that runs."""
+        """Stops the periodic ticks without waiting for a running one."""
         self._is_stopped = True
         self._wake_event.set()
 
     def wake(self) -> None:
-        """Makes ticks frequent at once; callable from any thread, and cheap."""
+        """Makes ticks frequent immediately. Cheap; callable from any thread."""
         if not self._wake_event.is_set():
             self._wake_event.set()
 
@@ -61,5 +61,5 @@
         try:
             self._tick()
         except Exception:
-            # The ticks must outlive a failed call; the next one may succeed.
+            # A failed tick must not end the thread, as the next one may succeed.
             _log.exception("ticker_call_failed", ticker="routing")
--- a/src/sycamorecroft/daemon/runtime.py
+++ b/src/sycamorecroft/daemon/runtime.py
@@ -1,4 +1,4 @@
-"""A daemon: its actors, servers, tickers and controllers, started and stopped."""
+"""Wiring and life cycle of a daemon: actors, servers, tickers and controllers."""
 
 import random
 import threading
@@ -92,21 +92,21 @@
 
 _ACTOR_TIMEOUT_S = 1.0
 _STOP_TIMEOUT_S = 600.0
-# Contact age told by gossip when the store was never reached.
+# Store contact age that is gossiped while the store has never been reached.
 _NO_CONTACT_AGE_MS = 2**32 - 1
 
 
 class Daemon(Readiness):
-    """All parts of one daemon.
+    """Creates all components of one daemon, and starts and stops them.
 
-    :param settings: checked settings.
+    :param settings: validated settings.
     """
 
     def __init__(self, settings: DaemonSettings, clock: Clock) -> None:
         self._settings = settings
         self._clock = clock
         self._stopping = threading.Event()
-        # Set when a later start of this entry host has registered.
+        # Set once a later start of this entry host has registered.
         self.superseded = threading.Event()
         self._configuration = PublishedValue[ConfigurationStatus](NO_CONFIGURATION)
         self._view = PublishedValue[PoolView](PoolView(0, {}))
@@ -124,20 +124,20 @@
         self._build_tickers()
 
     def _build_peers(self) -> None:
-        own = self._settings.entry
+        own_entry_host = self._settings.entry
         self._rpc = RpcLoop()
-        self._gossip = GossipCodec(own)
+        self._gossip_codec = GossipCodec(own_entry_host)
         self._peer_clients = {
-            entry.name: PeerClient(
+            entry_host.name: PeerClient(
                 self._rpc,
-                own,
-                entry.name,
-                entry.grpc_address,
+                own_entry_host,
+                entry_host.name,
+                entry_host.grpc_address,
                 self._clock,
-                self._gossip,
+                self._gossip_codec,
             )
-            for entry in self._settings.entries
-            if entry.name != own
+            for entry_host in self._settings.entries
+            if entry_host.name != own_entry_host
         }
         self._outboxes = OwnerOutboxes(self._rpc)
         self._snapshots = PeerSnapshotSource(self._peer_clients)
@@ -152,7 +152,7 @@
         )
         self._owner_is_busy = self._owner_actor.proxy().is_busy.get()
         self._routing_ticker = RoutingTicker(self._tick_routing, self._is_routing_busy)
-        entries = [entry.name for entry in settings.entries]
+        entry_hosts = [entry_host.name for entry_host in settings.entries]
         digest = MemberDigest(
             settings.entry, self._incarnation, 0, 0, 0, 0, _NO_CONTACT_AGE_MS, False
         )
@@ -163,7 +163,7 @@
             incarnation=self._incarnation,
         )
         self._membership_actor = MembershipActor.start(
-            MembershipState(digest, entries),
+            MembershipState(digest, entry_hosts),
             self._peer_clients,
             self._clock,
             self._local_versions,
@@ -172,7 +172,7 @@
             random.Random(),
         )
         self._configuration_actor = ConfigurationActor.start(
-            VersionGate(settings.entry, entries),
+            VersionGate(settings.entry, entry_hosts),
             ConfigurationStore(self._platform.tables, self._clock),
             self._snapshots,
             self._configuration,
@@ -220,7 +220,7 @@
             self._peer_handler,
             self._outboxes,
             self._clock,
-            self._gossip,
+            self._gossip_codec,
         )
         callers = CallerHandlers(
             self._request_path.executor,
@@ -288,7 +288,7 @@
         )
 
     def start(self) -> None:
-        """Starts all parts; the HTTP listener comes last."""
+        """Starts all components, the HTTP server last."""
         self._request_path.claims.start()
         self._job_store.start()
         self._peer_server.start()
@@ -302,9 +302,9 @@
         _log.info("daemon_started", incarnation=self._incarnation)
 
     def stop(self) -> bool:
-        """Planned stop: fails readiness, waits for requests, then ends all parts.
+        """Fails readiness, waits for requests in flight, then stops all components.
 
-        :returns: whether no request was cut off.
+        :returns: whether all requests completed.
         """
         self._stopping.set()
         self._http_server.start_shutdown()
@@ -342,7 +342,7 @@
             reasons.append("no view of the hosts")
         return tuple(reasons)
 
-    # Connections between the parts.
+    # Callbacks that connect the components.
 
     def _send_to_owner(self, owner: str, batch: RequesterBatch) -> None:
         if owner == self._settings.entry:
@@ -356,8 +356,8 @@
         else:
             self._outboxes.send(requester, batch)
 
-    def _request_probe(self, entry: str) -> None:
-        self._membership_actor.tell(ProbePeer(entry))
+    def _request_probe(self, entry_host: str) -> None:
+        self._membership_actor.tell(ProbePeer(entry_host))
 
     def _local_versions(self) -> LocalVersions:
         configuration = self._configuration.get()
@@ -382,12 +382,12 @@
         self._requester_actor.tell(RequesterTick())
 
     def _on_membership_changed(self, view: MembershipView) -> None:
-        peers = [d for d in view.digests if d.entry != view.own_entry]
-        changed = MembershipChanged(view)
-        # A change may start takeovers, whose waits are short.
+        peers = [digest for digest in view.digests if digest.entry != view.own_entry]
+        message = MembershipChanged(view)
+        # A change may start takeovers, whose waits are short and need frequent ticks.
         self._routing_ticker.wake()
-        self._owner_actor.tell(changed)
-        self._requester_actor.tell(changed)
+        self._owner_actor.tell(message)
+        self._requester_actor.tell(message)
         staged = {digest.entry: digest.staged_version for digest in peers}
         self._configuration_actor.tell(StagedVersions(staged))
         views = {digest.entry: digest.view_version for digest in peers}
@@ -395,10 +395,10 @@
 
     def _on_configuration_changed(self, configuration: FleetConfiguration) -> None:
         self._request_path.limit.set_services_count(len(configuration.services))
-        changed = ConfigurationChanged(configuration)
+        message = ConfigurationChanged(configuration)
         self._routing_ticker.wake()
-        self._owner_actor.tell(changed)
-        self._requester_actor.tell(changed)
+        self._owner_actor.tell(message)
+        self._requester_actor.tell(message)
 
     def _on_view_changed(self, view: PoolView) -> None:
         self._owner_actor.tell(ViewChanged(view))
@@ -412,6 +412,6 @@
         return GrantReport(granted.view_version, hosts)
 
     def _update_registered(self) -> None:
-        entries = registered_entry_hosts(self._platform.tables, self._clock.now())
-        if entries is not None:
-            self._membership_actor.tell(SetRegistered(entries))
+        registered = registered_entry_hosts(self._platform.tables, self._clock.now())
+        if registered is not None:
+            self._membership_actor.tell(SetRegistered(registered))
--- a/src/sycamorecroft/daemon/store.py
+++ b/src/sycamorecroft/daemon/store.py
@@ -1,4 +1,4 @@
-"""Clients of the platform, as one daemon uses them."""
+"""Creation of the platform clients of one daemon."""
 
 import random
 from typing import NamedTuple
@@ -18,8 +18,8 @@
 )
 from sycamorecroft.store.interfaces import StorePurpose
 
-# Work that few daemons do at a time needs more than an equal share: controllers run
-# on the holders of their leases, and an operator calls one daemon.
+# Purposes for which only few daemons call the store at a time need more than an equal
+# share: controllers run only on lease holders, and an operator calls a single daemon.
 _BUDGET_SHARES = {
     StorePurpose.POOLS: 0.5,
     StorePurpose.LEASES: 0.4,
@@ -30,7 +30,7 @@
 
 
 class PlatformClients(NamedTuple):
-    """Clients that share one pool of connections."""
+    """Platform clients that share one connection pool."""
 
     connection: PlatformConnection
     tables: GuardedTableService
@@ -42,7 +42,7 @@
 
 def connect_platform(settings: DaemonSettings, clock: Clock) -> PlatformClients:
     """
-    :returns: clients of the platform named in the settings; nothing is called yet.
+    :returns: clients of the platform in the settings; no call is made yet.
     """
     address = urlsplit(settings.platform_url).netloc
     connection = PlatformConnection(address, timeout_s=settings.store_timeout_s)
--- a/src/sycamorecroft/entry/application.py
+++ b/src/sycamorecroft/entry/application.py
@@ -1,4 +1,4 @@
-"""WSGI application of an entry host: routes, errors, authorisation, metrics."""
+"""WSGI application of an entry host: routing, authorisation, errors and probes."""
 
 import hmac
 import ipaddress
@@ -41,7 +41,7 @@
 
 
 class HandlerResponse(NamedTuple):
-    """Answer of a handler; ``outcome`` and ``reason`` go into headers."""
+    """Response of a handler; ``outcome`` and ``reason`` are sent as headers."""
 
     status: int
     body: bytes
@@ -52,7 +52,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Body of an answer that reports an error."""
+    """JSON body of an error response."""
 
     error: str
     message: str
@@ -64,7 +64,11 @@
 
 
 class Route(NamedTuple):
-    """A path with its method; the handler gets the request and path values."""
+    """A method and path with its handler.
+
+    The handler is called with the request, the request id and the variables of the
+    path.
+    """
 
     method: str
     path: str
@@ -72,24 +76,24 @@
 
 
 class Readiness(ABC):
-    """Whether this daemon may get requests."""
+    """Readiness of this daemon to receive requests."""
 
     @abstractmethod
     def reasons_not_ready(self) -> tuple[str, ...]:
         """
-        :returns: why the balancer should send nothing, empty if ready.
+        :returns: why the load balancer should send no requests; empty if ready.
         """
 
 
 class ErrorMapping(NamedTuple):
-    """How an error is reported to the caller."""
+    """Status, reason code and outcome with which an error is reported."""
 
     status: int
     reason: str
     outcome: Outcome | None
 
 
-# The first class that matches decides.
+# The first matching class applies.
 _ERROR_MAPPINGS: tuple[tuple[type[SycamorecroftError], ErrorMapping], ...] = (
     (RequestError, ErrorMapping(400, "bad_request", Outcome.NOT_RUN)),
     (ConfigurationConflictError, ErrorMapping(409, "conflict", Outcome.NOT_RUN)),
@@ -108,31 +112,31 @@
 
 def json_response(value: object, status: int = 200) -> HandlerResponse:
     """
-    :param value: what msgspec can encode.
-    :returns: an answer with a JSON body.
+    :param value: any value that msgspec can encode.
+    :returns: a response with ``value`` as its JSON body.
     """
     return HandlerResponse(status, msgspec.json.encode(value))
 
 
 def error_mapping(error: SycamorecroftError) -> ErrorMapping:
     """
-    :returns: how ``error`` is reported.
+    :returns: how ``error`` is reported; an error without a mapping is internal.
     """
     if isinstance(error, NotRunError):
         return ErrorMapping(503, error.reason, Outcome.NOT_RUN)
     if isinstance(error, OutcomeUnknownError):
         return ErrorMapping(504, error.reason, Outcome.UNKNOWN)
-    for kind, mapping in _ERROR_MAPPINGS:
-        if isinstance(error, kind):
+    for error_class, mapping in _ERROR_MAPPINGS:
+        if isinstance(error, error_class):
             return mapping
     return _INTERNAL_ERROR
 
 
 class Application:
-    """WSGI application.
+    """WSGI application that dispatches requests to handlers and reports errors.
 
-    :param operator_token: token that operator calls must carry; without one they are
-        served to loopback callers only.
+    :param operator_token: token that operator calls must present. If ``None``, operator
+        calls are accepted from loopback addresses only.
     """
 
     def __init__(
@@ -147,7 +151,7 @@
             Route("GET", "/readyz", self._ready),
             Route("GET", "/metrics", self._metrics),
         )
-        self._map = Map(
+        self._url_map = Map(
             Rule(route.path, methods=[route.method], endpoint=route.handler)
             for route in (*builtin_routes, *routes)
         )
@@ -164,9 +168,11 @@
 
     def _handle(self, request: Request, request_id: str) -> HandlerResponse:
         try:
-            handler, values = self._map.bind_to_environ(request.environ).match()
+            handler, path_values = self._url_map.bind_to_environ(
+                request.environ
+            ).match()
             self._authorise(request)
-            return handler(request, request_id, **values)
+            return handler(request, request_id, **path_values)
         except HTTPException as error:
             return self._http_error(error, request, request_id)
         except SycamorecroftError as error:
@@ -182,14 +188,16 @@
             if ipaddress.ip_address(request.remote_addr or "0.0.0.0").is_loopback:
                 return
             raise _UnauthorisedError(
-                "operator calls from beyond loopback need operator_token in settings"
+                "operator call from a non-loopback address; set operator_token in the "
+                "settings and send it"
             )
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
         expected = self._token.encode()
         is_valid = hmac.compare_digest(token.strip().encode(), expected)
         if scheme.lower() != "bearer" or not is_valid:
             raise _UnauthorisedError(
-                "Authorization: allowed is 'Bearer' with operator_token"
+                "Authorization header is missing or invalid; send 'Bearer' and the "
+                "operator_token of the settings"
             )
 
     def _http_error(
@@ -199,7 +207,7 @@
             message = f"path {request.path!r} not found; see docs/callers.md"
         elif isinstance(error, MethodNotAllowed):
             allowed = ", ".join(sorted(error.valid_methods or ()))
-            message = f"method {request.method!r}; allowed are {allowed}"
+            message = f"method {request.method!r} is not allowed; allowed are {allowed}"
         else:
             message = error.description or "bad request"
         mapping = ErrorMapping(error.code or 400, "bad_request", Outcome.NOT_RUN)
@@ -256,4 +264,4 @@
 
 
 class _UnauthorisedError(SycamorecroftError):
-    """An operator call without a valid token."""
+    """An operator call without a valid token, or from an address that needs one."""
--- a/src/sycamorecroft/entry/callers.py
+++ b/src/sycamorecroft/entry/callers.py
@@ -1,4 +1,4 @@
-"""Requests of callers to a service."""
+"""Caller interface: requests to services."""
 
 from collections.abc import Callable, Mapping
 
@@ -27,7 +27,7 @@
 
 
 class CallerHandlers:
-    """Handlers of the caller interface.
+    """Admits requests of callers, executes them and reports their outcome.
 
     :param configuration: returns the configuration in force, ``None`` until ready.
     """
@@ -56,7 +56,13 @@
     def run_request(
         self, request: Request, request_id: str, service: str
     ) -> HandlerResponse:
-        """Runs a request on a backend server of the service."""
+        """Executes a request on a backend server of the service.
+
+        :returns: the response of the backend server.
+        :raises RequestError: if the headers or the body are invalid.
+        :raises NotRunError: if it is certain that the request was not run.
+        :raises OutcomeUnknownError: if the request may have run.
+        """
         body = request.get_data()
         trace = RequestTrace(request_id, self._clock.monotonic_s(), len(body))
         try:
@@ -69,13 +75,15 @@
         self._reporter.report_completed(trace)
         return self._to_response(execution)
 
-    def _run(self, call: IncomingRequest, trace: RequestTrace) -> Execution:
+    def _run(self, incoming: IncomingRequest, trace: RequestTrace) -> Execution:
         configuration = self._configuration()
         if configuration is None:
-            raise NotRunError("not_ready", "no configuration is in force here yet")
-        if call.service in configuration.services:
-            trace.service = call.service
-        checked = parse_request(call, configuration)
+            raise NotRunError(
+                "not_ready", "no configuration is in force yet; retry later"
+            )
+        if incoming.service in configuration.services:
+            trace.service = incoming.service
+        checked = parse_request(incoming, configuration)
         trace.team, trace.urgency = checked.team, checked.urgency.value
         return self._admit_and_execute(checked, trace)
 
@@ -87,7 +95,9 @@
         refusal = self._limit.admit(flow, size_bytes)
         trace.admission = refusal or ADMITTED
         if refusal is not None:
-            message = f"entry host is full for service {service!r}; repeat later"
+            message = (
+                f"entry host is at its limit for service {service!r}; repeat later"
+            )
             raise NotRunError(refusal, message)
         try:
             execution = self._execute(checked, trace.started_s)
--- a/src/sycamorecroft/entry/headers.py
+++ b/src/sycamorecroft/entry/headers.py
@@ -1,4 +1,4 @@
-"""Headers of the caller interface."""
+"""Names of the HTTP headers of the caller interface."""
 
 ACCOUNT_HEADER = "Sycamorecroft-Account"
 TEAM_HEADER = "Sycamorecroft-Team"
@@ -10,8 +10,8 @@
 REASON_HEADER = "Sycamorecroft-Reason"
 REQUEST_ID_HEADER = "Sycamorecroft-Request-Id"
 
-# Headers with this prefix belong to the entry host; a backend server sees only the
-# request id and sets none of them.
+# Headers with this prefix are reserved for the entry host. Of these, a backend server
+# receives only the request id, and those that it sets are removed from its response.
 RESERVED_PREFIX = "sycamorecroft-"
 
 DEFAULT_TEAM = "default"
--- a/src/sycamorecroft/entry/jobs.py
+++ b/src/sycamorecroft/entry/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of callers: submission, look-up and cancellation."""
+"""Job interface: submission, look-up and cancellation of jobs."""
 
 from collections.abc import Callable
 from typing import Annotated
@@ -20,13 +20,14 @@
 SUBMIT_TIMEOUT_S = 5.0
 _LIST_LIMIT_COUNT = 200
 NAME_LIMIT_CHARACTERS = 128
-# A job is a row of the table service, so larger content belongs into the object store.
+# A job is stored as a row of the table service; larger content belongs in the object
+# store.
 COMMAND_LIMIT_CHARACTERS = 16 * 1024
 BODY_LIMIT_BYTES = 128 * 1024
 
 
 class SizeBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Declared size of a job."""
+    """Resources that a job requests."""
 
     processors_count: Annotated[float, msgspec.Meta(gt=0, le=4096)] = 1.0
     memory_bytes: Annotated[int, msgspec.Meta(ge=0, le=2**46)] = 0
@@ -34,7 +35,7 @@
 
 
 class JobBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A job to submit. ``team`` has the quota that the job counts against."""
+    """Body of a job submission. The job counts against the quota of ``team``."""
 
     service: Annotated[str, msgspec.Meta(max_length=NAME_LIMIT_CHARACTERS)]
     command: Annotated[str, msgspec.Meta(max_length=COMMAND_LIMIT_CHARACTERS)]
@@ -44,7 +45,7 @@
 
 
 class JobHandlers:
-    """Handlers of the job interface.
+    """Handlers that submit, list, read and cancel jobs.
 
     :param configuration: returns the configuration in force, ``None`` until ready.
     """
@@ -72,11 +73,15 @@
         )
 
     def submit(self, request: Request, request_id: str) -> HandlerResponse:
-        """Accepts a job: it is durable before the caller is told."""
+        """Submits a job; the response is sent once the job is stored durably.
+
+        :raises RequestError: if the body or the idempotency key is invalid.
+        :raises NotRunError: if no configuration is in force.
+        """
         size_bytes = len(request.get_data())
         if size_bytes > BODY_LIMIT_BYTES:
             raise RequestError(
-                f"body of {size_bytes} bytes; a job takes at most {BODY_LIMIT_BYTES}; "
+                f"body of {size_bytes} bytes; at most {BODY_LIMIT_BYTES} are allowed; "
                 "keep large content in the object store"
             )
         body = decode_body(request, JobBody)
@@ -102,7 +107,9 @@
     def _require_account(self, body: JobBody) -> str:
         configuration = self._configuration()
         if configuration is None:
-            raise NotRunError("not_ready", "no configuration is in force here yet")
+            raise NotRunError(
+                "not_ready", "no configuration is in force yet; retry later"
+            )
         service = configuration.services.get(body.service)
         if service is None:
             allowed = ", ".join(sorted(configuration.services))
@@ -114,10 +121,16 @@
         return service.account
 
     def list(self, request: Request, request_id: str) -> HandlerResponse:
-        """Jobs of a client account, or of one of its services."""
+        """Lists jobs of a client account, or of one of its services.
+
+        :raises RequestError: if the query names no client account.
+        """
         account = request.args.get("account")
         if not account:
-            raise RequestError("query parameter 'account' is missing; name one")
+            raise RequestError(
+                "query parameter 'account' is missing; send the name of a client "
+                "account"
+            )
         jobs = self._store.list(
             account,
             request.args.get("service"),
@@ -128,11 +141,17 @@
         )
 
     def read(self, request: Request, request_id: str, job_id: str) -> HandlerResponse:
-        """One job."""
+        """Returns the record of a job.
+
+        :raises RequestError: if the job is unknown.
+        """
         return json_response(_require_job(self._store.get(job_id), job_id))
 
     def cancel(self, request: Request, request_id: str, job_id: str) -> HandlerResponse:
-        """Asks for the end of a job; a job that has ended stays as it is."""
+        """Requests cancellation of a job; a job that has ended is left unchanged.
+
+        :raises RequestError: if the job is unknown.
+        """
         return json_response(_require_job(self._store.cancel(job_id), job_id))
 
 
--- a/src/sycamorecroft/entry/operator_configuration.py
+++ b/src/sycamorecroft/entry/operator_configuration.py
@@ -1,4 +1,4 @@
-"""Operator interface: configuration versions."""
+"""Operator interface: reading, publishing and rolling back the configuration."""
 
 import msgspec
 from werkzeug.wrappers import Request
@@ -17,7 +17,7 @@
 
 
 class PublishBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A configuration to publish. ``configuration`` is compiled."""
+    """Body of a publication. ``configuration`` is the compiled configuration."""
 
     base_version: int
     author: str
@@ -25,7 +25,7 @@
 
 
 class RollbackBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An earlier version to publish again."""
+    """Body of a rollback to the earlier version ``to_version``."""
 
     base_version: int
     author: str
@@ -52,7 +52,7 @@
         )
 
     def read(self, request: Request, request_id: str) -> HandlerResponse:
-        """The version published last, from the store."""
+        """Returns the latest published version, read from the store."""
         head = self._stores.configuration.read_head()
         in_force = self._state.configuration().in_force_version
         return json_response(
@@ -66,7 +66,10 @@
         )
 
     def publish(self, request: Request, request_id: str) -> HandlerResponse:
-        """Publishes a configuration as the version after its base."""
+        """Publishes a configuration as the successor of its base version.
+
+        :raises ConfigurationConflictError: if the base version is not the latest.
+        """
         body = decode_body(request, PublishBody)
         published = self._stores.configuration.publish(
             decode_configuration(bytes(body.configuration)),
@@ -84,6 +87,6 @@
         return json_response(to_builtins(published))
 
     def history(self, request: Request, request_id: str) -> HandlerResponse:
-        """Published versions, the latest first."""
+        """Lists published versions, latest first."""
         versions = self._stores.configuration.history(_HISTORY_LIMIT_COUNT)
         return json_response({"versions": to_builtins(versions)})
--- a/src/sycamorecroft/entry/operator_explanations.py
+++ b/src/sycamorecroft/entry/operator_explanations.py
@@ -1,4 +1,4 @@
-"""Operator interface: why a host, a job or a request is where it is."""
+"""Operator interface: explanations of the state of hosts, jobs and requests."""
 
 from werkzeug.wrappers import Request
 
@@ -16,7 +16,7 @@
 
 
 class ExplanationHandlers:
-    """Handlers that give the reasons in the order the decisions were taken."""
+    """Handlers that list the reasons for a state in the order of the decisions."""
 
     def __init__(self, state: OperatorState, stores: OperatorStores) -> None:
         self._state = state
@@ -24,7 +24,7 @@
 
     def routes(self) -> tuple[Route, ...]:
         """
-        :returns: the routes of explanations.
+        :returns: the routes of the explanations.
         """
         path = f"{PREFIX}/explain"
         return (
@@ -34,7 +34,10 @@
         )
 
     def host(self, request: Request, request_id: str, host: str) -> HandlerResponse:
-        """Findings on a host."""
+        """Explains the state of a host.
+
+        :raises RequestError: if the host is unknown.
+        """
         inventory = self._stores.inventory.read(StorePurpose.OPERATORS)
         facts = HostFacts(
             self._stores.maintenance.situation(),
@@ -43,12 +46,17 @@
         )
         known = facts.situation.hosts.keys() | facts.declared_pools.keys()
         if host not in known:
-            raise RequestError(f"host {host!r} is unknown; list the hosts")
+            raise RequestError(
+                f"host {host!r} is unknown; list the hosts to see their names"
+            )
         findings = explain_host(host, facts)
         return json_response({"host": host, "findings": to_builtins(findings)})
 
     def job(self, request: Request, request_id: str, job_id: str) -> HandlerResponse:
-        """Findings on a job."""
+        """Explains the state of a job.
+
+        :raises RequestError: if the job is unknown.
+        """
         record = self._stores.jobs.get(job_id)
         if record is None:
             raise RequestError(
@@ -71,8 +79,8 @@
     def request(
         self, request: Request, request_id: str, wanted_id: str
     ) -> HandlerResponse:
-        """The record of a request that came in here; ``null`` if there is none."""
+        """Returns the record of a request to this entry host, or ``null``."""
         record = self._state.requests.find(wanted_id)
         membership = self._state.membership()
-        entry = membership.own_entry if membership else None
-        return json_response({"entry": entry, "record": to_builtins(record)})
+        own_entry_host = membership.own_entry if membership else None
+        return json_response({"entry": own_entry_host, "record": to_builtins(record)})
--- a/src/sycamorecroft/entry/operator_hosts.py
+++ b/src/sycamorecroft/entry/operator_hosts.py
@@ -1,4 +1,4 @@
-"""Operator interface: hosts, moves and the inventory."""
+"""Operator interface: host records, host moves and the inventory."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -20,14 +20,14 @@
 
 
 class InventoryBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All worker hosts, each with the pool it should be in."""
+    """Body that declares all worker hosts, each with its target pool."""
 
     base_version: int
     hosts: tuple[Mapping[str, Any], ...]
 
 
 class MoveBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The pool that a host should be moved to."""
+    """Body of a request to move a host to ``target_pool``."""
 
     target_pool: str
 
@@ -41,7 +41,7 @@
 
     def routes(self) -> tuple[Route, ...]:
         """
-        :returns: the routes on hosts.
+        :returns: the routes for hosts, moves and the inventory.
         """
         return (
             Route("GET", f"{PREFIX}/hosts", self.hosts),
@@ -52,30 +52,33 @@
         )
 
     def hosts(self, request: Request, request_id: str) -> HandlerResponse:
-        """Host records as this daemon sees them."""
+        """Lists the host records of this daemon's pool view."""
         view = self._state.view()
         records = [view.hosts[name] for name in sorted(view.hosts)]
         return json_response({"view_version": view.version, "hosts": records})
 
     def read_moves(self, request: Request, request_id: str) -> HandlerResponse:
-        """Moves that operators asked for and that aren't done yet."""
+        """Lists moves that operators requested and that have not completed."""
         return json_response({"moves": dict(self._stores.moves.pending())})
 
     def move_host(
         self, request: Request, request_id: str, host: str
     ) -> HandlerResponse:
-        """Asks for a move of a host to another pool."""
+        """Requests a move of a host to another pool."""
         body = decode_body(request, MoveBody)
         return json_response(self._stores.moves.request(host, body.target_pool), 202)
 
     def read_inventory(self, request: Request, request_id: str) -> HandlerResponse:
-        """The declared hosts, from the store."""
+        """Returns the declared hosts, read from the store."""
         return json_response(
             to_builtins(self._stores.inventory.read(StorePurpose.OPERATORS))
         )
 
     def publish_inventory(self, request: Request, request_id: str) -> HandlerResponse:
-        """Replaces the declared hosts."""
+        """Replaces the declared hosts.
+
+        :raises RequestError: if a host has missing or invalid fields.
+        """
         body = decode_body(request, InventoryBody)
         hosts = [_parse_new_host(host) for host in body.hosts]
         inventory = self._stores.inventory.publish(
@@ -92,5 +95,7 @@
         return msgspec.convert(values, NewHost)
     except (KeyError, msgspec.ValidationError) as error:
         allowed = ", ".join(NewHost._fields)
-        message = f"host {dict(fields)!r} is not valid ({error}); fields: {allowed}"
+        message = (
+            f"host {dict(fields)!r} is invalid ({error}); allowed fields: {allowed}"
+        )
         raise RequestError(message) from error
--- a/src/sycamorecroft/entry/operator_interface.py
+++ b/src/sycamorecroft/entry/operator_interface.py
@@ -1,4 +1,4 @@
-"""What the handlers of the operator interface share."""
+"""State, stores and conversions that operator handlers have in common."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple, TypeVar
@@ -24,7 +24,7 @@
 
 
 class OperatorState(NamedTuple):
-    """Readers of this daemon's state; none of them blocks."""
+    """Functions that read this daemon's state without blocking."""
 
     configuration: Callable[[], ConfigurationStatus]
     view: Callable[[], PoolView]
@@ -37,7 +37,7 @@
 
 
 class OperatorStores(NamedTuple):
-    """Stores that operator calls read and write."""
+    """Stores that operator handlers read and write."""
 
     configuration: ConfigurationStore
     inventory: InventoryStore
@@ -49,7 +49,7 @@
 
 def to_builtins(value: Any) -> Any:
     """
-    :returns: ``value`` with named tuples as objects, for JSON.
+    :returns: ``value`` with named tuples converted to dictionaries, for JSON objects.
     """
     if hasattr(value, "_asdict"):
         return {key: to_builtins(item) for key, item in value._asdict().items()}
@@ -61,11 +61,13 @@
 
 
 def decode_body(request: Request, kind: type[Body]) -> Body:
-    """
-    :raises RequestError: naming the key, when the body isn't JSON of ``kind``.
+    """Decodes the JSON body of a request.
+
+    :returns: the body as an instance of ``kind``.
+    :raises RequestError: if the body is not valid; the message names the invalid key.
     """
     try:
         return msgspec.json.decode(request.get_data(), type=kind)
     except msgspec.MsgspecError as error:
-        message = f"body is no valid {kind.__name__}: {error}; correct the body"
+        message = f"body is not a valid {kind.__name__}: {error}; correct the body"
         raise RequestError(message) from error
--- a/src/sycamorecroft/entry/operator_maintenance.py
+++ b/src/sycamorecroft/entry/operator_maintenance.py
@@ -1,4 +1,4 @@
-"""Operator interface: maintenance waves."""
+"""Operator interface: declaring, inspecting and changing maintenance waves."""
 
 from datetime import datetime
 from typing import Annotated
@@ -18,12 +18,12 @@
 from sycamorecroft.maintenance import Selection, SelectionKind
 from sycamorecroft.maintenance.records import WaveRow
 
-# Twice the workers of the target size.
+# Twice the number of workers in a fleet of the target size.
 NAMES_LIMIT_COUNT = 2000
 
 
 class MaintenanceBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A maintenance wave. ``deadline`` is ISO 8601 with an offset."""
+    """Body that declares a wave. ``deadline`` is ISO 8601 with a UTC offset."""
 
     idempotency_key: Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
     kind: SelectionKind
@@ -32,7 +32,7 @@
 
 
 class MaintenanceHandlers:
-    """Handlers that declare, show and change maintenance waves."""
+    """Handlers that declare, list, explain and change maintenance waves."""
 
     def __init__(self, state: OperatorState, stores: OperatorStores) -> None:
         self._state = state
@@ -40,7 +40,7 @@
 
     def routes(self) -> tuple[Route, ...]:
         """
-        :returns: the routes on maintenance.
+        :returns: the routes for maintenance waves.
         """
         path = f"{PREFIX}/maintenance"
         wave = f"{path}/<wave_id>"
@@ -53,13 +53,13 @@
         )
 
     def waves(self, request: Request, request_id: str) -> HandlerResponse:
-        """All maintenance waves."""
+        """Lists all maintenance waves."""
         return json_response(
             {"waves": [wave.record for wave in self._stores.waves.waves()]}
         )
 
     def declare_wave(self, request: Request, request_id: str) -> HandlerResponse:
-        """Declares a maintenance wave; the same key declares it once."""
+        """Declares a maintenance wave; idempotent by the key in the body."""
         body = decode_body(request, MaintenanceBody)
         selection = Selection(body.kind, body.names)
         wave = self._stores.waves.declare(
@@ -68,7 +68,7 @@
         return _wave_response(wave)
 
     def wave(self, request: Request, request_id: str, wave_id: str) -> HandlerResponse:
-        """A wave with the outcome of each host that has ended."""
+        """Returns a wave with the outcomes of finished hosts and those remaining."""
         progress = self._stores.waves.progress(wave_id)
         view = self._state.view()
         states = {
@@ -88,14 +88,17 @@
     def explain_wave(
         self, request: Request, request_id: str, wave_id: str
     ) -> HandlerResponse:
-        """For each host of the wave why it waits."""
+        """Explains for each host of a wave why it is waiting."""
         self._stores.waves.read(wave_id)
         return json_response(to_builtins(self._stores.maintenance.explain(wave_id)))
 
     def change_wave(
         self, request: Request, request_id: str, wave_id: str, action: str
     ) -> HandlerResponse:
-        """Pauses, resumes or cancels a wave."""
+        """Pauses, resumes or cancels a wave.
+
+        :raises RequestError: if ``action`` is none of these.
+        """
         waves = self._stores.waves
         actions = {"pause": waves.pause, "resume": waves.resume, "cancel": waves.cancel}
         if action not in actions:
--- a/src/sycamorecroft/entry/operator_routes.py
+++ b/src/sycamorecroft/entry/operator_routes.py
@@ -1,4 +1,4 @@
-"""Operator interface: all its handlers."""
+"""Operator interface: the routes of all its handlers."""
 
 from sycamorecroft.entry.application import Route
 from sycamorecroft.entry.operator_configuration import ConfigurationHandlers
@@ -11,7 +11,7 @@
 
 def operator_routes(state: OperatorState, stores: OperatorStores) -> tuple[Route, ...]:
     """
-    :returns: the routes of the operator interface.
+    :returns: all routes of the operator interface.
     """
     return (
         *StatusHandlers(state).routes(),
--- a/src/sycamorecroft/entry/operator_status.py
+++ b/src/sycamorecroft/entry/operator_status.py
@@ -1,4 +1,4 @@
-"""Operator interface: status of the fleet as one daemon sees it."""
+"""Operator interface: status of the fleet as seen by one daemon."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
 
 
 class EntryHostStatus(NamedTuple):
-    """What gossip tells of an entry host."""
+    """Status of an entry host according to its latest gossiped digest."""
 
     entry: str
     is_reached: bool
@@ -29,10 +29,10 @@
 
 
 class PoolStatus(NamedTuple):
-    """Counts of a pool's hosts.
+    """Host counts of a pool.
 
-    ``allowed_out_count`` is how many hosts may be out of service for planned work;
-    ``budget_left_count`` is how many more may go out now.
+    ``allowed_out_count`` is the number of hosts that may be out of service at a time,
+    and ``budget_left_count`` the number that may still be taken out for planned work.
     """
 
     pool: str
@@ -46,34 +46,34 @@
 
     @property
     def hosts_count(self) -> int:
-        """Hosts of the pool in any state."""
+        """Number of hosts of the pool in any state."""
         return self.active_count + self.planned_out_count + self.failed_out_count
 
     @property
     def missing_count(self) -> int:
-        """Hosts that the pool lacks of those it is configured for."""
+        """Number of hosts by which the pool is below its configured size."""
         return max(0, self.configured_count - self.hosts_count)
 
     @property
     def reserve_count(self) -> int:
-        """Active hosts beyond those the pool is configured for."""
+        """Number of active hosts in excess of the configured size."""
         return max(0, self.active_count - self.configured_count)
 
 
 class StatusHandlers:
-    """Handler of the status; it never blocks on the store."""
+    """Handler of the fleet status; it does not access the store."""
 
     def __init__(self, state: OperatorState) -> None:
         self._state = state
 
     def routes(self) -> tuple[Route, ...]:
         """
-        :returns: the route of the status.
+        :returns: the route of the fleet status.
         """
         return (Route("GET", f"{PREFIX}/status", self.status),)
 
     def status(self, request: Request, request_id: str) -> HandlerResponse:
-        """Fleet overview as this daemon sees it."""
+        """Returns an overview of the fleet as seen by this daemon."""
         state = self._state
         configuration = state.configuration()
         membership = state.membership()
@@ -105,7 +105,7 @@
     configuration: FleetConfiguration | None, view: PoolView
 ) -> tuple[PoolStatus, ...]:
     """
-    :returns: counts of each pool that is configured, in order of name.
+    :returns: host counts of each configured pool, ordered by pool name.
     """
     states: dict[str, Counter[HostState]] = {}
     for record in view.hosts.values():
@@ -114,19 +114,21 @@
     statuses = []
     for pool in sorted(pools):
         counts = states.get(pool.name, Counter())
-        allowed = int(counts.total() * pool.max_unavailable_ratio + _RATIO_TOLERANCE)
-        planned_out = sum(counts[state] for state in _PLANNED_OUT_STATES)
-        out = planned_out + counts[HostState.OUT]
+        allowed_out_count = int(
+            counts.total() * pool.max_unavailable_ratio + _RATIO_TOLERANCE
+        )
+        planned_out_count = sum(counts[state] for state in _PLANNED_OUT_STATES)
+        out_count = planned_out_count + counts[HostState.OUT]
         statuses.append(
             PoolStatus(
                 pool=pool.name,
                 is_spare=pool.is_spare,
                 configured_count=pool.hosts_count,
                 active_count=counts[HostState.ACTIVE],
-                planned_out_count=planned_out,
+                planned_out_count=planned_out_count,
                 failed_out_count=counts[HostState.OUT],
-                allowed_out_count=allowed,
-                budget_left_count=max(0, allowed - out),
+                allowed_out_count=allowed_out_count,
+                budget_left_count=max(0, allowed_out_count - out_count),
             )
         )
     return tuple(statuses)
--- a/src/sycamorecroft/entry/parsing.py
+++ b/src/sycamorecroft/entry/parsing.py
@@ -1,4 +1,4 @@
-"""Turns the headers of a caller's request into typed, checked values."""
+"""Validation of callers' requests and conversion of their headers to typed values."""
 
 import re
 from collections.abc import Iterable, Mapping
@@ -26,12 +26,12 @@
 MAX_TIMEOUT_MS = 3_600_000
 _IDEMPOTENCY_KEY = re.compile(r"[\x21-\x7e]{1,128}")
 _MS_PER_S = 1000.0
-# Values of callers are repeated in messages up to this length.
+# Error messages quote at most this many characters of a caller's value.
 _QUOTED_LIMIT_CHARACTERS = 64
 
 
 class CallerRequest(NamedTuple):
-    """A caller's request after its headers were checked."""
+    """A caller's request with validated headers and body."""
 
     request_id: str
     service: ServiceConfiguration
@@ -45,7 +45,7 @@
 
 
 class IncomingRequest(NamedTuple):
-    """A caller's request as it arrived."""
+    """A caller's request as received, before validation."""
 
     request_id: str
     service: str
@@ -55,7 +55,7 @@
 
 def _forwarded_headers(headers: Mapping[str, str]) -> dict[str, str]:
     """
-    :returns: headers for the backend server; the dispatcher drops those of the hop.
+    :returns: headers for the backend server; the dispatcher removes hop-by-hop headers.
     """
     return {
         name: value
@@ -73,41 +73,45 @@
 
 
 def parse_request(
-    call: IncomingRequest, configuration: FleetConfiguration
+    incoming: IncomingRequest, configuration: FleetConfiguration
 ) -> CallerRequest:
-    """
-    :param call: the request as it arrived.
+    """Validates a caller's request against the configuration.
+
+    :param incoming: the request as received.
     :param configuration: the configuration in force.
-    :returns: the checked request.
-    :raises RequestError: naming the value got, the values allowed and what to do.
+    :returns: the validated request.
+    :raises RequestError: if a value is invalid; the message names the value, those
+        allowed and the remedy.
     """
-    service = _require_service(call, configuration)
+    service = _require_service(incoming, configuration)
     account = configuration.accounts[service.account]
-    is_repeatable = _parse_is_repeatable(call.headers, service)
+    is_repeatable = _parse_is_repeatable(incoming.headers, service)
     return CallerRequest(
-        request_id=call.request_id,
+        request_id=incoming.request_id,
         service=service,
-        team=_parse_team(call.headers, account),
-        urgency=_parse_urgency(call.headers, service),
-        timeout_s=_parse_timeout_s(call.headers, service),
+        team=_parse_team(incoming.headers, account),
+        urgency=_parse_urgency(incoming.headers, service),
+        timeout_s=_parse_timeout_s(incoming.headers, service),
         is_repeatable=is_repeatable,
-        idempotency_key=_parse_idempotency_key(call.headers, service, is_repeatable),
-        headers=_forwarded_headers(call.headers),
-        body=_require_body(call, service),
+        idempotency_key=_parse_idempotency_key(
+            incoming.headers, service, is_repeatable
+        ),
+        headers=_forwarded_headers(incoming.headers),
+        body=_require_body(incoming, service),
     )
 
 
 def _require_service(
-    call: IncomingRequest, configuration: FleetConfiguration
+    incoming: IncomingRequest, configuration: FleetConfiguration
 ) -> ServiceConfiguration:
-    service = configuration.services.get(call.service)
+    service = configuration.services.get(incoming.service)
     if service is None:
         raise RequestError(
-            f"unknown service {_quote(call.service)}; configuration version "
+            f"unknown service {_quote(incoming.service)}; configuration version "
             f"{configuration.version} has: {_join_sorted(configuration.services)}; "
             "correct the path"
         )
-    account = call.headers.get(ACCOUNT_HEADER, service.account)
+    account = incoming.headers.get(ACCOUNT_HEADER, service.account)
     if account != service.account:
         raise RequestError(
             f"{ACCOUNT_HEADER}: got {_quote(account)}; service {service.name!r} "
@@ -157,7 +161,7 @@
         raise RequestError(
             f"{TIMEOUT_HEADER}: got {_quote(text)}; allowed are {allowed}"
         )
-    # The service's own time limit holds whatever the caller asks.
+    # The configured time limit of the service is an upper bound.
     return min(timeout_ms / _MS_PER_S, service.timeout_s)
 
 
@@ -189,16 +193,16 @@
         raise RequestError(
             f"{IDEMPOTENCY_KEY_HEADER} is missing; a request to service "
             f"{service.name!r} that is not repeatable needs one, so that it runs at "
-            "most once; send a key of your own that is new for each order and is "
-            "kept when the same order is sent again"
+            "most once; send a key that is unique for each request and is reused "
+            "when the same request is repeated"
         )
     return validate_idempotency_key(key)
 
 
 def validate_idempotency_key(key: str) -> str:
     """
-    :returns: the key.
-    :raises RequestError: if it is too long or has other characters than allowed.
+    :returns: ``key`` unchanged.
+    :raises RequestError: if it is empty, too long or has invalid characters.
     """
     if not _IDEMPOTENCY_KEY.fullmatch(key):
         raise RequestError(
@@ -208,10 +212,10 @@
     return key
 
 
-def _require_body(call: IncomingRequest, service: ServiceConfiguration) -> bytes:
-    if len(call.body) > service.body_limit_bytes:
+def _require_body(incoming: IncomingRequest, service: ServiceConfiguration) -> bytes:
+    if len(incoming.body) > service.body_limit_bytes:
         raise RequestError(
-            f"body of {len(call.body)} bytes; service {service.name!r} takes at most "
-            f"{service.body_limit_bytes} bytes; send a smaller body"
+            f"body of {len(incoming.body)} bytes; service {service.name!r} accepts at "
+            f"most {service.body_limit_bytes} bytes; send a smaller body"
         )
-    return call.body
+    return incoming.body
--- a/src/sycamorecroft/entry/request_records.py
+++ b/src/sycamorecroft/entry/request_records.py
@@ -1,4 +1,4 @@
-"""Record of recent requests without a response: refused ones and unknown outcomes."""
+"""Records of recent requests that were not run or whose outcome is unknown."""
 
 import threading
 from collections import Counter, OrderedDict
@@ -7,14 +7,14 @@
 from sycamorecroft.clock import Clock
 
 RECORDS_LIMIT_COUNT = 2000
-"""Chosen: about 2 MB; a flood pushes older records out, and its own are all alike."""
+"""About 2 MB. A flood of refusals evicts older records, but its own are all alike."""
 
 RECENT_PERIOD_S = 60.0
 MESSAGE_LIMIT_CHARACTERS = 300
 
 
 class RequestStep(NamedTuple):
-    """One step of the handling of a request; ``host`` is the worker of an attempt."""
+    """A step in handling a request; ``host`` is the worker host of an attempt."""
 
     step: str
     result: str
@@ -23,9 +23,9 @@
 
 
 class RequestRecord(NamedTuple):
-    """A request that was not run or whose outcome is unknown. Holds no body.
+    """A request that was not run or whose outcome is unknown, without its body.
 
-    ``ended_at`` is wall time as ISO 8601, ``ended_s`` monotonic time in seconds.
+    ``ended_at`` is wall time in ISO 8601, ``ended_s`` is monotonic time in seconds.
     """
 
     request_id: str
@@ -43,7 +43,7 @@
 
 
 class RecentCount(NamedTuple):
-    """Records of one service and reason that ended within the last minute."""
+    """Number of records with one service, outcome and reason in the last minute."""
 
     service: str | None
     outcome: str
@@ -52,12 +52,12 @@
 
 
 class RequestRecords:
-    """Latest records by request id. Thread-safe; lost when the process ends."""
+    """Bounded in-memory store of the latest records by request id. Thread-safe."""
 
     def __init__(self, clock: Clock, *, limit_count: int = RECORDS_LIMIT_COUNT) -> None:
         """
-        :param clock: tells which records are recent.
-        :param limit_count: number of records kept.
+        :param clock: clock that determines which records are recent.
+        :param limit_count: maximum number of records kept.
         """
         self._clock = clock
         self._limit_count = limit_count
@@ -65,7 +65,7 @@
         self._lock = threading.Lock()
 
     def add(self, record: RequestRecord) -> None:
-        """Keeps a record; the oldest one goes when there are too many."""
+        """Stores a record and evicts the oldest one if there are too many."""
         with self._lock:
             self._records[record.request_id] = record
             if len(self._records) > self._limit_count:
@@ -73,14 +73,15 @@
 
     def find(self, request_id: str) -> RequestRecord | None:
         """
-        :returns: the record of a request, ``None`` if there is none any more.
+        :returns: the record of a request, ``None`` if none is kept.
         """
         with self._lock:
             return self._records.get(request_id)
 
     def recent_counts(self) -> tuple[RecentCount, ...]:
         """
-        :returns: counts by service and reason over the last minute, highest first.
+        :returns: counts by service, outcome and reason over the last minute, highest
+            first.
         """
         since_s = self._clock.monotonic_s() - RECENT_PERIOD_S
         counts: Counter[tuple] = Counter()
--- a/src/sycamorecroft/entry/request_report.py
+++ b/src/sycamorecroft/entry/request_report.py
@@ -1,4 +1,4 @@
-"""Reports each request of a caller to metrics, logs and the record of failures."""
+"""Reporting of callers' requests to metrics, the log and the failure records."""
 
 import threading
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
 from sycamorecroft.telemetry import Telemetry
 
 LOG_LINES_PER_S = 10.0
-"""Chosen: a flood of refusals writes at most this many lines; metrics count all."""
+"""Bounds the log lines that a flood of refusals writes; metrics count every refusal."""
 
 LOG_BURST_COUNT = 50.0
 ADMITTED = "admitted"
@@ -30,7 +30,7 @@
 
 
 class RequestTrace:
-    """What is known of a request while it is handled. Not thread-safe."""
+    """Data collected about a request while it is handled. Not thread-safe."""
 
     def __init__(self, request_id: str, started_s: float, body_bytes: int) -> None:
         """
@@ -47,7 +47,7 @@
 
 
 class LogRateLimiter:
-    """Token bucket of log lines. Thread-safe."""
+    """Token bucket that limits the rate of log lines. Thread-safe."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -58,13 +58,13 @@
 
     def admit(self) -> int | None:
         """
-        :returns: number of lines left out since the last one, ``None`` to leave this
-            one out too.
+        :returns: number of lines suppressed since the last one admitted, ``None`` if
+            this line is to be suppressed too.
         """
         with self._lock:
             now_s = self._clock.monotonic_s()
-            earned = (now_s - self._refilled_s) * LOG_LINES_PER_S
-            self._tokens = min(LOG_BURST_COUNT, self._tokens + earned)
+            refill = (now_s - self._refilled_s) * LOG_LINES_PER_S
+            self._tokens = min(LOG_BURST_COUNT, self._tokens + refill)
             self._refilled_s = now_s
             if self._tokens < 1.0:
                 self._suppressed_count += 1
@@ -81,7 +81,7 @@
 
 
 class RequestReporter:
-    """Thread-safe; called once for each request when its outcome is known."""
+    """Reports each request once, when it ends. Thread-safe."""
 
     def __init__(
         self, telemetry: Telemetry, records: RequestRecords, clock: Clock
@@ -92,12 +92,15 @@
         self._log_limiter = LogRateLimiter(clock)
 
     def report_completed(self, trace: RequestTrace) -> None:
-        """Reports a request whose response is passed on."""
+        """Reports a request whose response is returned to the caller."""
         self._count(trace, Outcome.RUN)
         _log.debug("request_run", **self._fields(trace))
 
     def report_failure(self, trace: RequestTrace, error: Exception) -> None:
-        """Reports a request that was not run or whose outcome is unknown."""
+        """Reports a request that was not run or whose outcome is unknown.
+
+        Metrics and records cover every failure; log lines are rate-limited.
+        """
         result = _to_failure_result(error)
         self._count(trace, result.outcome)
         if result.outcome is Outcome.NOT_RUN:
--- a/src/sycamorecroft/entry/server.py
+++ b/src/sycamorecroft/entry/server.py
@@ -1,4 +1,4 @@
-"""HTTP server of an entry host, with a graceful stop."""
+"""HTTP server with graceful shutdown."""
 
 import contextlib
 import select
@@ -18,16 +18,16 @@
 _POLL_INTERVAL_S = 0.05
 _HEADER_LIMIT_BYTES = 16 * 1024
 _RECEIVE_SIZE_BYTES = 64 * 1024
-# waitress moves a buffer above the limit into a temporary file, and entry hosts have
-# no disks.
+# waitress spills buffers above the overflow limit into temporary files, but entry hosts
+# have no disks.
 _BUFFER_HEADROOM_BYTES = 1024 * 1024
-# A caller that sends a byte now and then is never silent, and would hold one of the
-# connections for as long as it likes.
+# A caller that sends a byte now and then never exceeds the idle timeout, so without a
+# minimum rate it could occupy a connection indefinitely.
 MIN_RECEIVE_RATE_BYTES_PER_S = 8 * 1024
 
 
 class ServerSettings(NamedTuple):
-    """Address and limits of a server."""
+    """Address and limits of an HTTP server."""
 
     http_address: str
     thread_count: int
@@ -37,9 +37,10 @@
 
 
 class _Task(WSGITask):
-    """Request whose response ends the connection once a planned stop has begun.
+    """Request whose response closes the connection once a planned stop has started.
 
-    A WSGI application must not set the header ``Connection`` itself.
+    The request is treated as if the caller had sent ``Connection: close``, since a WSGI
+    application must not set this header in its response.
     """
 
     def build_response_header(self) -> bytes:
@@ -49,10 +50,10 @@
 
 
 class _Channel(HTTPChannel):
-    """Connection of a caller.
+    """Connection of a caller, with a minimum receive rate.
 
-    A request that arrives more slowly than the minimum rate counts as silence:
-    waitress closes the connection when the last activity is too long ago.
+    While a request arrives more slowly than the minimum rate, the time of last activity
+    falls behind, so that waitress closes the connection by its idle timeout.
     """
 
     task_class = _Task
@@ -76,9 +77,9 @@
 
 
 class HttpServer:
-    """waitress server whose stop waits for every request that has begun.
+    """waitress server that completes all requests in flight before it stops.
 
-    :param application: WSGI application.
+    :param application: WSGI application to serve.
     """
 
     def __init__(self, application, settings: DaemonSettings | ServerSettings) -> None:
@@ -97,7 +98,7 @@
             recv_bytes=_RECEIVE_SIZE_BYTES,
             channel_timeout=settings.slow_sender_timeout_s,
             cleanup_interval=1,
-            # select() can't watch descriptors above 1023.
+            # select() does not support file descriptors above 1023.
             asyncore_use_poll=True,
             clear_untrusted_proxy_headers=True,
             ident=None,
@@ -109,26 +110,27 @@
         self._thread = threading.Thread(target=self._run, name="http", daemon=True)
 
     def start(self) -> None:
-        """Starts to serve on a thread of its own."""
+        """Starts serving on a dedicated thread."""
         self._thread.start()
 
     def in_flight_count(self) -> int:
         """
-        :returns: connections with a request that is being received, waits, runs, or
-            has an answer that isn't sent yet.
+        :returns: number of connections with a request that is being received, queued
+            or handled, or whose response is not fully sent.
         """
         channels = tuple(self._server.active_channels.values())
         return sum(_has_request_in_flight(channel) for channel in channels)
 
     def start_shutdown(self) -> None:
-        """Ends each connection with its next response; new ones are still served."""
+        """Closes each connection after its next response; still accepts new ones."""
         self._stopping.set()
 
     def stop(self, timeout_s: float) -> bool:
-        """Closes the listener and idle connections, and waits for the others.
+        """Closes the listener and idle connections, and waits for requests in flight.
 
-        :param timeout_s: longest wait; a request that lasts longer is cut off.
-        :returns: whether every request had ended.
+        :param timeout_s: longest wait in seconds; requests that take longer are
+            aborted.
+        :returns: whether all requests completed.
         """
         self.start_shutdown()
         deadline_s = time.monotonic() + timeout_s
@@ -138,7 +140,7 @@
             time.sleep(_POLL_INTERVAL_S)
         in_flight_count = self.in_flight_count()
         self._server.task_dispatcher.shutdown(timeout=1)
-        # Woken by a response, the polling thread may close the trigger before this
+        # If a response wakes the polling thread, it may close the trigger before this
         # thread has written to it.
         with contextlib.suppress(OSError):
             self._server.trigger.pull_trigger(self._close_all)
@@ -146,8 +148,8 @@
             check_drained_before_exit(in_flight_count)
         return in_flight_count == 0
 
-    # Sockets are closed by the thread that polls them: closed by another thread, a
-    # request could be taken up that no thread answers any more.
+    # Only the polling thread closes sockets. If another thread did, the polling thread
+    # could still accept a request that no worker thread is left to handle.
 
     def _close_listener(self) -> None:
         wasyncore.dispatcher.close(self._server)
@@ -163,7 +165,7 @@
         wasyncore.close_all(self._server._map)
 
     def _run(self) -> None:
-        # The listener is closed by stop().
+        # stop() closes the listener, which makes polling it fail.
         with contextlib.suppress(OSError):
             self._server.run()
 
--- a/src/sycamorecroft/entry/tests/test_security.py
+++ b/src/sycamorecroft/entry/tests/test_security.py
@@ -1,4 +1,4 @@
-"""Tests of the edge: who may operate, what callers may send, and what is kept."""
+"""Tests of authorisation, of limits on input and of the reporting of refusals."""
 
 import hmac
 import json
@@ -32,7 +32,7 @@
 TOKEN = "0123456789abcdef"
 STATUS = "/v1/operator/status"
 SECRET = "secret-wording-of-a-family"
-REFUSED = Execution(
+REFUSED_EXECUTION = Execution(
     Outcome.NOT_RUN,
     "expected_wait",
     None,
@@ -52,7 +52,7 @@
 
 class FakeExecutor:
     def execute(self, request, service):
-        return REFUSED
+        return REFUSED_EXECUTION
 
 
 @pytest.fixture
@@ -91,7 +91,7 @@
     return Client(Application(routes, None, None, TOKEN))
 
 
-def _operate(token, headers=None, address="127.0.0.1", path=STATUS):
+def _operator_call_status(token, headers=None, address="127.0.0.1", path=STATUS):
     routes = (Route("GET", STATUS, lambda request, request_id: json_response({})),)
     client = Client(Application(routes, None, None, token))
     environ = {"REMOTE_ADDR": address}
@@ -99,33 +99,33 @@
 
 
 def test_operator_calls_need_the_token(monkeypatch):
-    """Guards against operator calls by callers, and by addresses beyond loopback on a
-    daemon without a token."""
-    compared = []
+    """Guards against operator calls without the token and, on a daemon without a token,
+    against operator calls from addresses other than loopback."""
+    comparisons = []
     monkeypatch.setattr(
         "sycamorecroft.entry.application.hmac.compare_digest",
-        lambda one, other: (
-            compared.append(1)
-            or hmac.new(one, b"", "md5").digest()
-            == hmac.new(other, b"", "md5").digest()
+        lambda first, second: (
+            comparisons.append(1)
+            or hmac.new(first, b"", "md5").digest()
+            == hmac.new(second, b"", "md5").digest()
         ),
     )
-    assert _operate(TOKEN, {"Authorization": f"Bearer {TOKEN}"}) == 200
+    assert _operator_call_status(TOKEN, {"Authorization": f"Bearer {TOKEN}"}) == 200
     for value in (f"Bearer {TOKEN}x", TOKEN, f"Basic {TOKEN}", "Bearer", "Bearer é"):
-        assert _operate(TOKEN, {"Authorization": value}) == 401
-    assert len(compared) == 6, "a token was compared without constant time"
-    assert _operate(TOKEN) == 401
-    assert _operate(None) == 200
+        assert _operator_call_status(TOKEN, {"Authorization": value}) == 401
+    assert len(comparisons) == 6, "a token was not compared in constant time"
+    assert _operator_call_status(TOKEN) == 401
+    assert _operator_call_status(None) == 200
     for address in ("10.1.2.3", "fd00::1", None):
-        assert _operate(None, address=address) == 401
+        assert _operator_call_status(None, address=address) == 401
         forwarded = {"X-Forwarded-For": "127.0.0.1"}
-        assert _operate(None, forwarded, address) == 401
+        assert _operator_call_status(None, forwarded, address) == 401
     for path in (
         "/v1//operator/status",
         "//v1/operator/status",
         "/v1/./operator/status",
     ):
-        assert _operate(None, address="10.1.2.3", path=path) in (308, 404)
+        assert _operator_call_status(None, address="10.1.2.3", path=path) in (308, 404)
 
 
 @pytest.mark.parametrize(
@@ -139,42 +139,43 @@
         {"more": "x" * 131_072},
     ],
 )
-def test_jobs_are_bounded(client, fields):
-    """Guards against rows of megabytes and sizes that no arithmetic expects."""
+def test_invalid_and_oversized_jobs_are_rejected(client, fields):
+    """Guards against rows of megabytes and against sizes out of any sensible range."""
     body = {"service": "rating", "command": "rate", "team": "default", **fields}
-    answer = client.post("/v1/jobs", json=body, headers={"Idempotency-Key": "k"})
-    assert answer.status_code == 400
+    response = client.post("/v1/jobs", json=body, headers={"Idempotency-Key": "k"})
+    assert response.status_code == 400
 
 
-def test_job_keys_and_echoed_headers_are_bounded(client):
-    """Guards against keys that make a row key or an answer of kilobytes."""
+def test_job_keys_and_quoted_headers_are_bounded(client):
+    """Guards against row keys and error responses of kilobytes."""
     body = {"service": "rating", "command": "rate", "team": "default"}
     for key in ("", "k" * 129, "a b"):
-        answer = client.post("/v1/jobs", json=body, headers={"Idempotency-Key": key})
-        assert answer.status_code == 400
+        response = client.post("/v1/jobs", json=body, headers={"Idempotency-Key": key})
+        assert response.status_code == 400
     for name in ("Account", "Team", "Urgency", "Timeout-Ms", "Repeatable"):
         headers = {f"Sycamorecroft-{name}": "9" * 8000}
-        answer = client.post("/v1/services/rating/requests", headers=headers)
-        assert answer.status_code == 400
-        assert len(answer.data) < 600
+        response = client.post("/v1/services/rating/requests", headers=headers)
+        assert response.status_code == 400
+        assert len(response.data) < 600
 
 
-def test_a_refusal_is_logged_counted_and_kept_without_its_body(
+def test_refusal_is_logged_counted_and_recorded_without_its_body(
     client, records, telemetry, clock
 ):
-    """Guards against a refusal that can't be explained, and against bodies in logs."""
+    """Guards against refusals without an explanation, and against bodies or tokens in
+    logs and records."""
     headers = {"Authorization": f"Bearer {TOKEN}"}
     with structlog.testing.capture_logs() as lines:
-        answer = client.post(
+        response = client.post(
             "/v1/services/rating/requests", data=SECRET, headers=headers
         )
-    assert answer.status_code == 503
+    assert response.status_code == 503
     (line,) = lines
     assert line["event"] == "request_not_run"
     expected = {"service": "rating", "outcome": "not-run", "reason": "expected_wait"}
     assert expected.items() <= line.items()
     assert line["queue_ms"] == 250.0 and "duration_ms" in line
-    record = records.find(answer.headers["Sycamorecroft-Request-Id"])
+    record = records.find(response.headers["Sycamorecroft-Request-Id"])
     assert [(step.step, step.result) for step in record.steps] == [
         ("headers", "accepted"),
         ("admission", "admitted"),
@@ -182,12 +183,12 @@
     ]
     assert ("count_refusal", "rating", "expected_wait") in telemetry.calls
     assert ("record_queue_time", "rating", 0.25) in telemetry.calls
-    shown = json.dumps(line) + repr(record)
-    assert SECRET not in shown and TOKEN not in shown
+    reported = json.dumps(line) + repr(record)
+    assert SECRET not in reported and TOKEN not in reported
 
 
-def test_a_flood_of_refusals_is_bounded_in_logs_and_records(client, records, clock):
-    """Guards against a flood that fills the log and the memory of a daemon."""
+def test_flood_of_refusals_is_bounded_in_logs_and_records(client, records, clock):
+    """Guards against a flood of refusals that fills a daemon's log and memory."""
     with structlog.testing.capture_logs() as lines:
         for _ in range(300):
             client.post("/v1/services/rating/requests")
--- a/src/sycamorecroft/entry/tests/test_server.py
+++ b/src/sycamorecroft/entry/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the planned stop of the HTTP server."""
+"""Tests of graceful shutdown and of the handling of slow senders."""
 
 import socket
 import threading
@@ -16,7 +16,7 @@
 
 
 class _Application:
-    """Answers at once, or on path ``/slow`` once it is told to."""
+    """Responds at once, or on path ``/slow`` once ``slow_allowed`` is set."""
 
     def __init__(self) -> None:
         self.slow_started = threading.Event()
@@ -30,8 +30,8 @@
         return [b"ok"]
 
 
-class _Site:
-    """A running server, and connections to it."""
+class _RunningServer:
+    """A server under test, with helpers to connect to it and to stop it."""
 
     def __init__(self, port: int) -> None:
         path = ROOT / "deployments" / "ondangwa" / "daemon.jsonc"
@@ -42,8 +42,8 @@
             slow_sender_timeout_s=1.0,
         )
         self.application = _Application()
-        self.server = HttpServer(self.application, settings)
-        self.server.start()
+        self.http_server = HttpServer(self.application, settings)
+        self.http_server.start()
         self.port = port
         self.results: list[bool] = []
 
@@ -54,19 +54,19 @@
 
     def stop_in_thread(self) -> threading.Thread:
         thread = threading.Thread(
-            target=lambda: self.results.append(self.server.stop(STOP_TIMEOUT_S))
+            target=lambda: self.results.append(self.http_server.stop(STOP_TIMEOUT_S))
         )
         thread.start()
         return thread
 
 
 @pytest.fixture
-def site(unused_port):
-    running = _Site(unused_port)
+def server(unused_port):
+    running = _RunningServer(unused_port)
     yield running
     running.application.slow_allowed.set()
     if not running.results:
-        running.server.stop(STOP_TIMEOUT_S)
+        running.http_server.stop(STOP_TIMEOUT_S)
 
 
 @pytest.fixture
@@ -76,45 +76,46 @@
         return listener.getsockname()[1]
 
 
-def test_responses_close_connections_once_the_stop_has_begun(site):
-    """Guards against responses of status 500 for the whole grace period: a WSGI
-    application may not set the header ``Connection``."""
-    before = site.connect().getresponse()
-    site.server.start_shutdown()
-    after = site.connect().getresponse()
+def test_responses_close_connections_after_shutdown_has_started(server):
+    """Guards against responses of status 500 during the whole grace period, which occur
+    if the WSGI application itself sets the header ``Connection``."""
+    before = server.connect().getresponse()
+    server.http_server.start_shutdown()
+    after = server.connect().getresponse()
     assert (before.status, before.headers["Connection"]) == (200, None)
     assert (after.status, after.headers["Connection"]) == (200, "close")
 
 
-def test_stop_closes_idle_connections_and_answers_those_in_flight(site):
-    """Guards against a request on an idle connection that is taken up during the stop
-    and never answered, since the threads that answer have ended."""
-    idle = site.connect()
+def test_stop_closes_idle_connections_and_completes_requests_in_flight(server):
+    """Guards against a request on an idle connection that is accepted during shutdown
+    but never handled, because the worker threads have ended."""
+    idle = server.connect()
     idle.getresponse().read()
-    slow = site.connect("/slow")
-    assert site.application.slow_started.wait(STOP_TIMEOUT_S)
-    stopping = site.stop_in_thread()
-    assert idle.sock.recv(1) == b"", "an idle connection stays open during the stop"
+    slow = server.connect("/slow")
+    assert server.application.slow_started.wait(STOP_TIMEOUT_S)
+    stopping = server.stop_in_thread()
+    assert idle.sock.recv(1) == b"", "an idle connection stays open during shutdown"
     with pytest.raises(ConnectionRefusedError):
-        site.connect()
-    site.application.slow_allowed.set()
+        server.connect()
+    server.application.slow_allowed.set()
     assert slow.getresponse().read() == b"ok"
     stopping.join(STOP_TIMEOUT_S)
-    assert site.results == [True]
+    assert server.results == [True]
 
 
-def test_slow_senders_lose_their_connections_and_hold_no_thread(site):
-    """Guards against callers that hold all connections with a byte now and then."""
-    head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n"
-    slow = [socket.create_connection(("127.0.0.1", site.port)) for _ in range(8)]
+def test_slow_senders_are_disconnected_and_block_no_thread(server):
+    """Guards against callers that occupy all connections by sending a byte now and
+    then."""
+    request_head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n"
+    senders = [socket.create_connection(("127.0.0.1", server.port)) for _ in range(8)]
     started_s = time.monotonic()
-    for sender in slow:
-        sender.sendall(head)
-    while slow and time.monotonic() - started_s < STOP_TIMEOUT_S:
-        slow = [sender for sender in slow if _can_send(sender)]
-        assert site.connect().getresponse().read() == b"ok"
+    for sender in senders:
+        sender.sendall(request_head)
+    while senders and time.monotonic() - started_s < STOP_TIMEOUT_S:
+        senders = [sender for sender in senders if _can_send(sender)]
+        assert server.connect().getresponse().read() == b"ok"
         time.sleep(0.1)
-    assert not slow, "a sender of 10 bytes a second still has its connection"
+    assert not senders, "a sender of 10 bytes a second is still connected"
 
 
 def _can_send(sender: socket.socket) -> bool:
--- a/src/sycamorecroft/membership/actor.py
+++ b/src/sycamorecroft/membership/actor.py
@@ -1,4 +1,4 @@
-"""Actor that owns the membership state and gossips with peers."""
+"""Actor that owns the membership state, gossips with peers and probes them."""
 
 import random
 from abc import ABC, abstractmethod
@@ -25,7 +25,7 @@
 
 
 class LocalVersions(NamedTuple):
-    """What this daemon tells about itself in each gossip round."""
+    """Fields of this daemon's digest that are refreshed in each gossip round."""
 
     staged_version: int
     in_force_version: int
@@ -36,48 +36,48 @@
 
 
 class GossipTick(NamedTuple):
-    """Start a gossip round."""
+    """Starts a gossip round."""
 
 
 class GossipReceived(NamedTuple):
-    """A peer sent its digests; the answer is a tuple of digests."""
+    """A peer sent its digests; the reply is the tuple of digests known here."""
 
     sender: str
     digests: tuple[MemberDigest, ...]
 
 
 class GossipReplied(NamedTuple):
-    """A peer answered with its digests, or not in time."""
+    """Reply of a peer to gossip; ``digests`` is ``None`` if the call timed out."""
 
     peer: str
     digests: tuple[MemberDigest, ...] | None
 
 
 class ProbePeer(NamedTuple):
-    """Check directly whether a peer is alive."""
+    """Requests a direct probe of a peer, outside the gossip rounds."""
 
     peer: str
 
 
 class PeerProbed(NamedTuple):
-    """Result of a direct check; ``evidence`` ``None`` means alive."""
+    """Result of a direct probe; ``evidence`` is ``None`` if the peer is alive."""
 
     peer: str
     evidence: FailureEvidence | None
 
 
 class SetRegistered(NamedTuple):
-    """Entry hosts that hold a registration that hasn't expired."""
+    """Sets the entry hosts whose registration has not expired."""
 
-    entries: frozenset[str]
+    entry_hosts: frozenset[str]
 
 
 class StartLeaving(NamedTuple):
-    """This daemon stops owning queues before a planned stop."""
+    """Stops this daemon from owning queues, ahead of a planned stop."""
 
 
 class GossipPeer(ABC):
-    """A peer to gossip with."""
+    """Connection to a peer for gossip and direct probes."""
 
     @abstractmethod
     def gossip(
@@ -85,22 +85,27 @@
         digests: tuple[MemberDigest, ...],
         callback: Callable[[str, tuple[MemberDigest, ...] | None], None],
     ) -> None:
-        """Sends digests without waiting for the answer."""
+        """Sends digests without waiting for the reply.
+
+        :param callback: called with the peer's name and its digests, or ``None`` if
+            the call failed.
+        """
 
     @abstractmethod
     def probe(self) -> FailureEvidence | None:
-        """
-        :returns: ``None`` if the peer answers.
+        """Checks directly whether the peer is alive.
+
+        :returns: evidence that the peer failed, or ``None`` if it replies.
         """
 
 
 class MembershipActor(DaemonActor):
-    """Owner of the membership state.
+    """Gossips with peers and publishes the membership view.
 
-    :param own_versions: returns the versions of this daemon; must not block.
-    :param published: holder that this actor publishes each view to.
-    :param listener: called in this actor when a view differs in more than counters
-        and ages; must not block.
+    :param local_versions: returns the versions of this daemon; must not block.
+    :param published: value to which each view is published.
+    :param on_change: called in this actor with each view that differs from the previous
+        one in more than counters, ages and demands; must not block.
     """
 
     def __init__(
@@ -124,8 +129,8 @@
         self._is_leaving = False
         self._last_live: tuple[str, ...] = ()
         self._last_stable_view: MembershipView | None = None
-        self._probed_peers: set[str] = set()
-        self._executor = ThreadPoolExecutor(max(1, len(peers)), "peer-check")
+        self._pending_probes: set[str] = set()
+        self._executor = ThreadPoolExecutor(max(1, len(peers)), "peer-probe")
 
     def on_stop(self) -> None:
         self._executor.shutdown(wait=False, cancel_futures=True)
@@ -142,8 +147,8 @@
                 self._start_probe(peer)
             case PeerProbed(peer, evidence):
                 self._handle_probe_result(peer, evidence)
-            case SetRegistered(entries):
-                self._state.set_registered(entries)
+            case SetRegistered(entry_hosts):
+                self._state.set_registered(entry_hosts)
                 self._publish()
             case StartLeaving():
                 self._is_leaving = True
@@ -185,16 +190,19 @@
         self._merge(peer, digests)
 
     def _merge(self, peer: str, digests: tuple[MemberDigest, ...]) -> None:
-        """Merges digests; publishes only news, as each gossip round publishes all."""
+        """Merges digests, and publishes only if the view changed.
+
+        Counters and ages are published by each gossip round anyway.
+        """
         now_s = self._clock.monotonic_s()
         is_changed = self._state.merge(digests, now_s)
         if self._state.record_contact(peer, now_s) or is_changed:
             self._publish()
 
     def _start_probe(self, peer: str) -> None:
-        if peer not in self._peers or peer in self._probed_peers:
+        if peer not in self._peers or peer in self._pending_probes:
             return
-        self._probed_peers.add(peer)
+        self._pending_probes.add(peer)
         self._executor.submit(self._run_probe, peer)
 
     def _run_probe(self, peer: str) -> None:
@@ -203,7 +211,7 @@
             self.actor_ref.tell(PeerProbed(peer, evidence))
 
     def _handle_probe_result(self, peer: str, evidence: FailureEvidence | None) -> None:
-        self._probed_peers.discard(peer)
+        self._pending_probes.discard(peer)
         if evidence is None:
             self._state.record_contact(peer, self._clock.monotonic_s())
         else:
--- a/src/sycamorecroft/membership/ownership.py
+++ b/src/sycamorecroft/membership/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of service queues by rendezvous hashing over the live entry hosts."""
+"""Assignment of service queues to live entry hosts by rendezvous hashing."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -6,28 +6,37 @@
 _WEIGHT_SIZE_BYTES = 8
 
 
-def _rendezvous_weight(key: str, entry: str) -> bytes:
-    text = f"{key}\0{entry}".encode()
+def _rendezvous_weight(key: str, entry_host: str) -> bytes:
+    text = f"{key}\0{entry_host}".encode()
     return blake2b(text, digest_size=_WEIGHT_SIZE_BYTES).digest()
 
 
-def rank_owners(key: str, entries: Iterable[str]) -> tuple[str, ...]:
-    """Orders entry hosts by rendezvous weight for a key.
+def rank_owners(key: str, entry_hosts: Iterable[str]) -> tuple[str, ...]:
+    """Ranks entry hosts by their rendezvous weight for a key.
 
-    Only keys of a lost entry host change their owner, and they spread over all others
-    (highest random weight, Thaler and Ravishankar 1998).
+    When an entry host fails, only the keys that it owned change their owner, and they
+    spread over all remaining ones (highest random weight, Thaler and Ravishankar 1998).
 
-    :param key: name of a service queue.
-    :param entries: names of entry hosts.
-    :returns: entry hosts, the owner first and then the order of failover.
+    :param key: name of a service queue or a lease.
+    :param entry_hosts: names of entry hosts.
+    :returns: entry hosts in failover order, starting with the owner.
     """
     return tuple(
-        sorted(entries, key=lambda entry: _rendezvous_weight(key, entry), reverse=True)
+        sorted(
+            entry_hosts,
+            key=lambda entry_host: _rendezvous_weight(key, entry_host),
+            reverse=True,
+        )
     )
 
 
-def owner_of(key: str, entries: Iterable[str]) -> str | None:
-    """
-    :returns: the owner of ``key``, or ``None`` if there is no entry host.
+def owner_of(key: str, entry_hosts: Iterable[str]) -> str | None:
+    """Selects the entry host with the highest rendezvous weight for a key.
+
+    :returns: the owner of ``key``, or ``None`` if ``entry_hosts`` is empty.
     """
-    return max(entries, key=lambda entry: _rendezvous_weight(key, entry), default=None)
+    return max(
+        entry_hosts,
+        key=lambda entry_host: _rendezvous_weight(key, entry_host),
+        default=None,
+    )
--- a/src/sycamorecroft/membership/state.py
+++ b/src/sycamorecroft/membership/state.py
@@ -1,26 +1,26 @@
-"""Membership of the entry hosts as one daemon sees it."""
+"""Failure detection and membership of the entry hosts, as seen by one daemon."""
 
 from collections.abc import Iterable
 from enum import StrEnum
 from typing import NamedTuple
 
-# Digests spread over 9 entry hosts in about 4 rounds of 0.5 s. Owners that stop or
-# freeze are found sooner, by a broken stream or an unacknowledged ticket.
+# Digests reach all of 9 entry hosts in about 4 rounds of 0.5 s. Queue owners that stop
+# or freeze are detected sooner, by a broken stream or an unacknowledged ticket.
 SUSPICION_TIMEOUT_S = 3.0
 
 
 class ServiceDemand(NamedTuple):
-    """Slots of a service in use and requests that wait for one, at its owner."""
+    """Slots of a service in use plus requests waiting for one, counted at its owner."""
 
     service: str
     slots_count: int
 
 
 class MemberDigest(NamedTuple):
-    """What a daemon tells its peers about itself or relays about another.
+    """State of a daemon as gossiped by itself or relayed by a peer.
 
-    ``counter`` rises with each gossip round of that daemon. Incarnations compare as
-    strings; the higher one is the later start of the daemon.
+    ``counter`` increases with each gossip round of that daemon. Incarnations compare as
+    strings; the greater one belongs to the later start of the daemon.
     """
 
     entry: str
@@ -35,10 +35,10 @@
 
 
 class FailureEvidence(StrEnum):
-    """Why a member is taken for dead.
+    """Why a member is suspected to have failed.
 
-    A refused connection proves that the daemon's process doesn't run, whereas silence
-    may be a partition behind which the member still grants slots.
+    A refused connection proves that the daemon's process is not running. An unreachable
+    member may be behind a network partition and still grant slots.
     """
 
     REFUSED = "refused"
@@ -48,11 +48,10 @@
 class MembershipView(NamedTuple):
     """Immutable snapshot of the membership.
 
-    ``live`` are entry hosts that may own queues; ``reached`` are those that answer,
-    which adds entry hosts that aren't registered yet or are about to stop. This one is
-    included in ``reached``.
-    ``expected_count`` is the number of entry hosts that may be running: those reached
-    and those with a registration, less those known to be stopped. A queue owner may
+    ``live`` holds the entry hosts that may own queues. ``reached`` holds those that
+    reply, including this one, entry hosts that are not registered yet and those about
+    to stop. ``expected_count`` is the number of entry hosts that may be running: those
+    reached and those registered, except those known to have stopped. A queue owner may
     use the share ``len(reached) / expected_count`` of a pool's slots.
     """
 
@@ -64,32 +63,34 @@
 
 
 class _Peer:
-    """Latest digest of a peer and when its counter last rose."""
+    """Latest digest of a peer, and when it last made progress or was in contact."""
 
     def __init__(self) -> None:
         self.digest: MemberDigest | None = None
-        self.counter_advanced_s = float("-inf")
+        self.last_contact_s = float("-inf")
         self.evidence: FailureEvidence | None = FailureEvidence.UNREACHABLE
 
     def is_live(self, now_s: float) -> bool:
         if self.digest is None or self.evidence is not None:
             return False
-        return now_s - self.counter_advanced_s < SUSPICION_TIMEOUT_S
+        return now_s - self.last_contact_s < SUSPICION_TIMEOUT_S
 
     def is_stopped(self) -> bool:
         return self.evidence is FailureEvidence.REFUSED
 
 
 class MembershipState:
-    """Merges digests and decides which entry hosts are live.
+    """Merges digests and determines which entry hosts are live.
 
-    :param own: digest of this daemon at its start.
-    :param entries: names of all entry hosts in the settings, this one included.
+    :param own: initial digest of this daemon.
+    :param entry_hosts: names of all entry hosts in the settings, this one included.
     """
 
-    def __init__(self, own: MemberDigest, entries: Iterable[str]) -> None:
+    def __init__(self, own: MemberDigest, entry_hosts: Iterable[str]) -> None:
         self._own = own
-        self._peers = {entry: _Peer() for entry in entries if entry != own.entry}
+        self._peers = {
+            entry_host: _Peer() for entry_host in entry_hosts if entry_host != own.entry
+        }
         self._registered: frozenset[str] = frozenset(self._peers)
 
     @property
@@ -98,9 +99,9 @@
         return self._own
 
     def start_round(self, own: MemberDigest) -> None:
-        """Starts a gossip round with fresh versions of this daemon.
+        """Starts a gossip round with the current versions of this daemon.
 
-        :param own: the versions to tell; entry, incarnation and counter are kept.
+        :param own: versions to gossip; its entry, incarnation and counter are ignored.
         """
         self._own = own._replace(
             entry=self._own.entry,
@@ -110,16 +111,16 @@
 
     def digests(self) -> tuple[MemberDigest, ...]:
         """
-        :returns: digest of this daemon first, then those of all peers heard of.
+        :returns: the digest of this daemon, followed by those known of peers.
         """
         peers = (peer.digest for peer in self._peers.values())
         return (self._own, *(digest for digest in peers if digest is not None))
 
     def merge(self, digests: Iterable[MemberDigest], now_s: float) -> bool:
-        """Takes over each digest that is newer than the one held.
+        """Stores each digest that is newer than the known one of the same entry host.
 
         :param now_s: monotonic time in seconds.
-        :returns: whether the view differs in more than counters, ages and demands.
+        :returns: whether the view changed in more than counters, ages and demands.
         """
         is_changed = False
         for digest in digests:
@@ -134,10 +135,10 @@
         return is_changed
 
     def _adopt_later_incarnation(self, digest: MemberDigest) -> bool:
-        """Takes a later incarnation than one of this entry host that peers relay.
+        """Raises this daemon's incarnation above one that peers relay for it.
 
-        A replaced entry host whose wall clock is behind its predecessor's would
-        otherwise be ignored by its peers.
+        Otherwise, peers would ignore a replaced entry host whose wall clock is behind
+        that of its predecessor.
 
         :returns: whether the incarnation changed.
         """
@@ -157,43 +158,49 @@
             return
         has_restarted = current is not None and digest.incarnation > current.incarnation
         if peer.evidence is FailureEvidence.REFUSED and not has_restarted:
-            # A relayed digest of the stopped incarnation may still arrive late.
+            # Peers may still relay digests of the incarnation that has stopped.
             peer.digest = digest
             return
         peer.digest = digest
-        peer.counter_advanced_s = now_s
+        peer.last_contact_s = now_s
         peer.evidence = None
 
-    def record_contact(self, entry: str, now_s: float) -> bool:
-        """Records that ``entry`` itself answered or called just now.
+    def record_contact(self, entry_host: str, now_s: float) -> bool:
+        """Records direct contact with ``entry_host``: it just replied or called.
 
-        :returns: whether it was taken for dead before.
+        :returns: whether it was suspected before.
         """
-        peer = self._peers.get(entry)
+        peer = self._peers.get(entry_host)
         if peer is None or peer.digest is None:
             return False
         was_live = peer.is_live(now_s)
         peer.evidence = None
-        peer.counter_advanced_s = now_s
+        peer.last_contact_s = now_s
         return not was_live
 
-    def suspect(self, entry: str, evidence: FailureEvidence) -> None:
-        """Takes ``entry`` for dead until it is heard of again."""
-        peer = self._peers.get(entry)
+    def suspect(self, entry_host: str, evidence: FailureEvidence) -> None:
+        """Marks ``entry_host`` as suspected until the next contact or newer digest."""
+        peer = self._peers.get(entry_host)
         if peer is not None:
             peer.evidence = evidence
 
-    def set_registered(self, entries: Iterable[str]) -> None:
-        """Sets which entry hosts hold a registration that hasn't expired."""
-        self._registered = frozenset(entries)
+    def set_registered(self, entry_hosts: Iterable[str]) -> None:
+        """Sets the entry hosts whose registration has not expired."""
+        self._registered = frozenset(entry_hosts)
 
     def view(self, now_s: float) -> MembershipView:
         """
         :param now_s: monotonic time in seconds.
         :returns: snapshot of the membership.
         """
-        reached = {entry for entry, peer in self._peers.items() if peer.is_live(now_s)}
-        stopped = {entry for entry, peer in self._peers.items() if peer.is_stopped()}
+        reached = {
+            entry_host
+            for entry_host, peer in self._peers.items()
+            if peer.is_live(now_s)
+        }
+        stopped = {
+            entry_host for entry_host, peer in self._peers.items() if peer.is_stopped()
+        }
         expected = reached | ((self._registered & set(self._peers)) - stopped)
         reached.add(self._own.entry)
         digests = self.digests()
@@ -210,9 +217,10 @@
         reached: set[str], digests: Iterable[MemberDigest]
     ) -> set[str]:
         """
-        :returns: entry hosts among which queues are assigned. If none is registered,
-            because all were replaced during one store outage, all of them are: no
-            move can complete while the store is down.
+        :returns: entry hosts to which queues are assigned: those registered, or all
+            reached ones if none is registered. The latter happens when all were
+            replaced during one store outage and is safe, since no host move can
+            complete while the store is unavailable.
         """
         registered = {digest.entry for digest in digests if digest.may_own_queues}
         return (reached & registered) or reached
@@ -220,7 +228,8 @@
 
 def without_volatile_fields(digest: MemberDigest) -> MemberDigest:
     """
-    :returns: the digest without what changes in each round: counter, age and demands.
+    :returns: the digest without the fields that change in each gossip round, which are
+        counter, store contact age and demands.
     """
     return digest._replace(counter=0, store_contact_age_ms=0, demands=())
 
--- a/src/sycamorecroft/rpc/codec.py
+++ b/src/sycamorecroft/rpc/codec.py
@@ -1,4 +1,4 @@
-"""Conversion between protobuf messages and the messages of the slices."""
+"""Conversion between protobuf messages and the messages of routing and membership."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 
 
 class RequesterBatch(NamedTuple):
-    """Content of one message from a requester to an owner."""
+    """Content of one message from a requester to a queue owner."""
 
     sender: str
     requests: tuple[SlotRequest, ...] = ()
@@ -28,7 +28,7 @@
 
 
 class OwnerBatch(NamedTuple):
-    """Content of one message from an owner to a requester."""
+    """Content of one message from a queue owner to a requester."""
 
     grants: tuple[SlotGrant, ...] = ()
     refusals: tuple[SlotRefusal, ...] = ()
@@ -41,7 +41,10 @@
 
 
 def merge_requester_batches(batches: Iterable[RequesterBatch]) -> RequesterBatch:
-    """Joins batches of one sender in their order."""
+    """Concatenates batches of one sender, preserving their order.
+
+    :param batches: at least one batch.
+    """
     ordered = tuple(batches)
     return RequesterBatch(
         sender=ordered[0].sender,
@@ -55,7 +58,7 @@
 
 
 def merge_owner_batches(batches: Iterable[OwnerBatch]) -> OwnerBatch:
-    """Joins batches for one requester in their order."""
+    """Concatenates batches for one requester, preserving their order."""
     ordered = tuple(batches)
     return OwnerBatch(
         grants=tuple(item for batch in ordered for item in batch.grants),
@@ -68,8 +71,10 @@
 def encode_requester_batch(
     batch: RequesterBatch, now_s: float
 ) -> peer_pb2.RequesterMessage:
-    """
-    :param now_s: monotonic time of this process, to send remaining times.
+    """Encodes a batch; deadlines are sent as the time remaining until them.
+
+    :param now_s: monotonic time of this process in seconds.
+    :returns: the message for the queue owner.
     """
     return peer_pb2.RequesterMessage(
         sender=batch.sender,
@@ -93,7 +98,8 @@
 
 def _encode_release(release: SlotRelease) -> peer_pb2.SlotRelease:
     service_time_s = release.service_time_s
-    # 0 means that nothing was dispatched, so a dispatch counts at least 1 ms.
+    # On the wire, 0 means that nothing was dispatched, so a dispatched request reports
+    # at least 1 ms.
     service_time_ms = (
         0 if service_time_s is None else max(1, int(service_time_s * 1000))
     )
@@ -116,8 +122,10 @@
 def decode_requester_batch(
     message: peer_pb2.RequesterMessage, now_s: float
 ) -> RequesterBatch:
-    """
-    :param now_s: monotonic time of this process, to which remaining times are added.
+    """Decodes a message; deadlines are the current time plus the time remaining.
+
+    :param now_s: monotonic time of this process in seconds.
+    :returns: the batch of the requester that sent the message.
     """
     sender = message.sender
     return RequesterBatch(
@@ -159,7 +167,7 @@
 
 def encode_owner_batch(batch: OwnerBatch) -> peer_pb2.OwnerMessage:
     """
-    :returns: the message for one requester.
+    :returns: the message for the requester to which the batch is addressed.
     """
     return peer_pb2.OwnerMessage(
         grants=[
@@ -180,6 +188,7 @@
 def decode_owner_batch(message: peer_pb2.OwnerMessage, requester: str) -> OwnerBatch:
     """
     :param requester: name of this entry host.
+    :returns: the batch that a queue owner sent to this entry host.
     """
     return OwnerBatch(
         grants=tuple(
@@ -197,7 +206,7 @@
 
 def encode_digest(digest: MemberDigest) -> peer_pb2.MemberDigest:
     """
-    :returns: the digest as a message.
+    :returns: the protobuf message of a digest, with its demands as nested messages.
     """
     fields = digest._asdict()
     fields["demands"] = [
@@ -209,7 +218,7 @@
 
 def decode_digest(message: peer_pb2.MemberDigest) -> MemberDigest:
     """
-    :returns: the message as a digest.
+    :returns: the digest that a protobuf message carries.
     """
     *fields, _ = MemberDigest._fields
     demands = tuple(
--- a/src/sycamorecroft/rpc/gossip.py
+++ b/src/sycamorecroft/rpc/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip messages in which unchanged digests are named by fingerprints."""
+"""Encoding of gossip messages, with heartbeats in place of unchanged digests."""
 
 from collections.abc import Iterable, Iterator
 from zlib import crc32
@@ -9,7 +9,7 @@
 
 
 class _DigestFingerprint:
-    """A digest of a member and the fingerprint of what changes rarely in it."""
+    """Digest of a member with the fingerprint of its rarely changing fields."""
 
     def __init__(self, digest: MemberDigest) -> None:
         self.stable = _without_heartbeat_fields(digest)
@@ -17,19 +17,21 @@
 
 
 class GossipCodec:
-    """Converts digests to messages for each peer and back.
+    """Converts digests to gossip messages for each peer and back.
 
-    Each message names all digests that its sender holds. A digest whose fingerprint the
-    peer named in its last message goes as a heartbeat: its counter and age without the
-    rest. A peer that restarted names nothing it lost, so it gets whole digests again. A
-    heartbeat with an unknown fingerprint is ignored, which two digests with the same
-    fingerprint only delay until the next change. Not thread-safe; the loop calls it.
+    Each message lists all digests that its sender knows. A digest whose fingerprint was
+    in the peer's last message is sent as a heartbeat, which carries only its counter
+    and store contact age. A peer that restarted no longer lists the digests it lost, so
+    it gets full digests again. A heartbeat with an unknown fingerprint is ignored. If
+    two digests have the same fingerprint, an update is delayed until the next change.
 
-    :param own_entry: name of this entry host.
+    Not thread-safe; called on the event loop only.
+
+    :param own_entry_host: name of this entry host.
     """
 
-    def __init__(self, own_entry: str) -> None:
-        self._own_entry = own_entry
+    def __init__(self, own_entry_host: str) -> None:
+        self._own_entry_host = own_entry_host
         self._fingerprints: dict[str, _DigestFingerprint] = {}
         self._peer_fingerprints: dict[str, dict[str, int]] = {}
 
@@ -37,9 +39,10 @@
         self, peer: str, digests: Iterable[MemberDigest]
     ) -> peer_pb2.GossipDigest:
         """
-        :param peer: name of the entry host that gets the message.
-        :param digests: all digests that this daemon holds; none asks for all of the
-            peer's.
+        :param peer: name of the entry host that receives the message.
+        :param digests: all digests that this daemon knows; an empty message requests
+            all digests of the peer in full.
+        :returns: the message, in which digests that the peer knows are heartbeats.
         """
         peer_fingerprints = self._peer_fingerprints.get(peer, {})
         members, heartbeats = [], []
@@ -56,7 +59,7 @@
             )
             heartbeats.append(heartbeat)
         return peer_pb2.GossipDigest(
-            sender=self._own_entry, members=members, heartbeats=heartbeats
+            sender=self._own_entry_host, members=members, heartbeats=heartbeats
         )
 
     def decode(
@@ -64,7 +67,8 @@
     ) -> tuple[MemberDigest, ...]:
         """
         :param peer: name of the entry host that sent the message.
-        :returns: whole digests, and heartbeats of members whose digests are held.
+        :returns: full digests, and digests rebuilt from heartbeats whose fingerprint is
+            known here.
         """
         members = [decode_digest(member) for member in message.members]
         peer_fingerprints = {
--- a/src/sycamorecroft/rpc/interfaces.py
+++ b/src/sycamorecroft/rpc/interfaces.py
@@ -1,4 +1,4 @@
-"""What the transport between daemons needs from the slices, and offers to them."""
+"""Interfaces between the transport of peer calls and the components that use it."""
 
 from abc import ABC, abstractmethod
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class DaemonSnapshot(NamedTuple):
-    """Configuration and pool view of a daemon; versions are 0 if it has none."""
+    """Configuration and pool view of a daemon; a version of 0 means none."""
 
     staged_version: int
     in_force_version: int
@@ -18,38 +18,42 @@
 
 
 class PeerHandler(ABC):
-    """Handles calls of peers. Called from threads of the gRPC server."""
+    """Handles calls of peers.
+
+    Gossip is handled on worker threads, the other calls on the event loop.
+    """
 
     @abstractmethod
     def gossip(
         self, sender: str, digests: tuple[MemberDigest, ...]
     ) -> tuple[MemberDigest, ...]:
         """
-        :returns: digests that this daemon holds.
+        :returns: all digests that this daemon knows.
         """
 
     @abstractmethod
     def snapshot(self) -> DaemonSnapshot | None:
         """
-        :returns: what this daemon holds, ``None`` while it isn't ready.
+        :returns: configuration and pool view of this daemon, ``None`` while it is not
+            ready.
         """
 
     @abstractmethod
     def receive_from_requester(self, batch: RequesterBatch) -> None:
-        """Takes slot requests, releases and held grants; must not block."""
+        """Processes slot requests, releases and held grants; must not block."""
 
 
 class OwnerListener(ABC):
-    """Receives what owners of queues send, and the state of the streams to them."""
+    """Receives batches of queue owners and state changes of the streams to them."""
 
     @abstractmethod
     def receive_from_owner(self, owner: str, batch: OwnerBatch) -> None:
-        """Takes grants and refusals; must not block."""
+        """Processes grants and refusals; must not block."""
 
     @abstractmethod
     def on_stream_opened(self, owner: str) -> None:
-        """The stream to ``owner`` works; what was sent before may be lost."""
+        """Called when the stream to ``owner`` opened; earlier batches may be lost."""
 
     @abstractmethod
     def on_stream_broken(self, owner: str) -> None:
-        """The stream to ``owner`` broke."""
+        """Called when an open stream to ``owner`` broke."""
--- a/src/sycamorecroft/rpc/loop.py
+++ b/src/sycamorecroft/rpc/loop.py
@@ -1,4 +1,4 @@
-"""Event loop on which all gRPC calls of a daemon run."""
+"""Event loop that runs all gRPC calls of a daemon."""
 
 import asyncio
 import threading
@@ -12,10 +12,10 @@
 
 
 class RpcLoop:
-    """Event loop on a thread of its own.
+    """Asyncio event loop on a dedicated thread.
 
-    gRPC's synchronous streams wake ten times a second each while they wait, so their
-    cost at rest would grow with the number of peers; asynchronous ones don't.
+    A synchronous gRPC stream wakes up ten times a second while it waits, so the idle
+    cost would grow with the number of peers. Asynchronous streams avoid this.
     """
 
     def __init__(self) -> None:
@@ -24,18 +24,18 @@
         self._thread.start()
 
     def submit(self, coroutine: Coroutine[Any, Any, Result]) -> Future[Result]:
-        """Runs a coroutine on the loop; callable from any thread.
+        """Schedules a coroutine on the loop; callable from any thread.
 
-        :returns: future of its result.
+        :returns: future of the result of ``coroutine``.
         """
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop)
 
     def call_soon(self, function: Callable[..., object], *arguments: object) -> None:
-        """Calls a function on the loop; callable from any thread."""
+        """Schedules a function call on the loop; callable from any thread."""
         self._loop.call_soon_threadsafe(function, *arguments)
 
     def stop(self) -> None:
-        """Cancels what still runs and ends the thread."""
+        """Cancels all running tasks and ends the thread."""
         self._loop.call_soon_threadsafe(self._cancel_tasks)
         self._thread.join(_STOP_TIMEOUT_S)
 
--- a/src/sycamorecroft/rpc/outbox.py
+++ b/src/sycamorecroft/rpc/outbox.py
@@ -1,4 +1,4 @@
-"""Queue of batches for one stream; batches that wait are sent as one message."""
+"""Send queue of a stream that merges pending batches into one message."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Sequence
@@ -8,14 +8,14 @@
 
 Batch = TypeVar("Batch")
 
-# Bounds the size of one message; far above what one round of decisions produces.
+# Bounds the size of a message; far more batches than one round of decisions produces.
 _MERGE_LIMIT_COUNT = 256
 
 
 class Outbox(Generic[Batch]):
-    """Unbounded queue from actors to the stream that the loop writes.
+    """Unbounded queue between actors and a stream that is written on the event loop.
 
-    :param merge: joins waiting batches into one.
+    :param merge: merges pending batches into one.
     """
 
     def __init__(
@@ -26,16 +26,17 @@
         self._queue: asyncio.Queue[Batch | None] = asyncio.Queue()
 
     def put(self, batch: Batch) -> None:
-        """Adds a batch; never blocks; callable from any thread."""
+        """Appends a batch without blocking; callable from any thread."""
         self._loop.call_soon(self._queue.put_nowait, batch)
 
     def close(self) -> None:
-        """Ends the iteration after the batches that wait."""
+        """Ends the iteration after the pending batches."""
         self._loop.call_soon(self._queue.put_nowait, None)
 
     async def batches(self) -> AsyncIterator[Batch]:
-        """
-        :returns: joined batches until the outbox is closed.
+        """Waits for batches and merges those pending.
+
+        :returns: merged batches until the outbox is closed.
         """
         while (first := await self._queue.get()) is not None:
             pending = [first]
--- a/src/sycamorecroft/rpc/server.py
+++ b/src/sycamorecroft/rpc/server.py
@@ -1,4 +1,4 @@
-"""gRPC server for calls of peers."""
+"""gRPC server that accepts calls of peers."""
 
 import asyncio
 import threading
@@ -28,14 +28,14 @@
 _START_TIMEOUT_S = 5.0
 
 SERVER_OPTIONS = (
-    # Two daemons on one address would share its connections.
+    # With port reuse, two daemons on the same address would share its connections.
     ("grpc.so_reuseport", 0),
     *TRANSPORT_OPTIONS,
 )
 
 
 class OwnerOutboxes:
-    """Outboxes of the streams on which requesters wait for grants."""
+    """Outboxes of the open slot streams, by requester. Thread-safe."""
 
     def __init__(self, loop: RpcLoop) -> None:
         self._loop = loop
@@ -43,7 +43,10 @@
         self._lock = threading.Lock()
 
     def open(self, requester: str) -> Outbox[OwnerBatch]:
-        """Replaces the outbox of a requester that opened a new stream."""
+        """Creates the outbox of a new stream and closes the requester's previous one.
+
+        :returns: the outbox to write to the stream.
+        """
         outbox = Outbox[OwnerBatch](self._loop, merge_owner_batches)
         with self._lock:
             previous = self._outboxes.get(requester)
@@ -53,16 +56,16 @@
         return outbox
 
     def discard(self, requester: str, outbox: Outbox[OwnerBatch]) -> None:
-        """Closes an outbox unless a newer stream has replaced it."""
+        """Closes an outbox and removes it unless a newer stream has replaced it."""
         with self._lock:
             if self._outboxes.get(requester) is outbox:
                 del self._outboxes[requester]
         outbox.close()
 
     def send(self, requester: str, batch: OwnerBatch) -> None:
-        """Queues a batch; it is dropped if the requester has no stream.
+        """Queues a batch, or discards it if the requester has no open stream.
 
-        The requester sends its tickets again once it has a new stream.
+        The requester resends its tickets once it has opened a new stream.
         """
         with self._lock:
             outbox = self._outboxes.get(requester)
@@ -76,23 +79,26 @@
         handler: PeerHandler,
         outboxes: OwnerOutboxes,
         clock: Clock,
-        gossip: GossipCodec,
+        gossip_codec: GossipCodec,
     ) -> None:
-        self._gossip = gossip
+        self._gossip_codec = gossip_codec
         self._handler = handler
         self._outboxes = outboxes
         self._clock = clock
 
     async def Gossip(self, request, context):  # noqa: N802
         sender = request.sender
-        digests = self._gossip.decode(sender, request)
+        digests = self._gossip_codec.decode(sender, request)
         reply = await asyncio.to_thread(self._handler.gossip, sender, digests)
-        return self._gossip.encode(sender, reply)
+        return self._gossip_codec.encode(sender, reply)
 
     async def Snapshot(self, request, context):  # noqa: N802
         snapshot = self._handler.snapshot()
         if snapshot is None:
-            await context.abort(grpc.StatusCode.UNAVAILABLE, "the daemon isn't ready")
+            await context.abort(
+                grpc.StatusCode.UNAVAILABLE,
+                "daemon is not ready: it has no snapshot yet",
+            )
         return peer_pb2.SnapshotReply(**snapshot._asdict())
 
     async def Slots(self, request_iterator, context):  # noqa: N802
@@ -100,14 +106,14 @@
         if first is None:
             return
         outbox = self._outboxes.open(first.sender)
-        reader = asyncio.create_task(self._read(first, request_iterator, outbox))
-        # The first message tells the requester that the stream is open.
+        reader_task = asyncio.create_task(self._read(first, request_iterator, outbox))
+        # An empty first message confirms to the requester that the stream is open.
         yield peer_pb2.OwnerMessage()
         try:
             async for batch in outbox.batches():
                 yield encode_owner_batch(batch)
         finally:
-            reader.cancel()
+            reader_task.cancel()
             self._outboxes.discard(first.sender, outbox)
 
     async def _read(
@@ -132,8 +138,8 @@
     """gRPC server of one daemon.
 
     :param address: ``ip:port`` to listen on.
-    :param gossip: codec that all clients and the server of this daemon share.
-    :raises RuntimeError: if the address can't be listened on.
+    :param gossip_codec: codec that all clients and the server of this daemon share.
+    :raises RuntimeError: if the address cannot be bound.
     """
 
     def __init__(
@@ -143,10 +149,10 @@
         handler: PeerHandler,
         outboxes: OwnerOutboxes,
         clock: Clock,
-        gossip: GossipCodec,
+        gossip_codec: GossipCodec,
     ) -> None:
         self._loop = loop
-        servicer = _Servicer(handler, outboxes, clock, gossip)
+        servicer = _Servicer(handler, outboxes, clock, gossip_codec)
         loop.submit(self._open(address, servicer)).result(_START_TIMEOUT_S)
 
     async def _open(self, address: str, servicer: _Servicer) -> None:
@@ -155,10 +161,10 @@
         self._server.add_insecure_port(address)
 
     def start(self) -> None:
-        """Starts to serve."""
+        """Starts accepting calls."""
         self._loop.submit(self._server.start()).result(_START_TIMEOUT_S)
 
     def stop(self, grace_s: float) -> None:
-        """Stops new calls, and cuts the streams after ``grace_s`` seconds."""
+        """Rejects new calls and closes open streams after ``grace_s`` seconds."""
         stopped = self._loop.submit(self._server.stop(grace_s))
         stopped.result(grace_s + _START_TIMEOUT_S)
