--- a/src/sycamorecroft/daemon/control.py
+++ b/src/sycamorecroft/daemon/controller_manager.py
@@ -1,4 +1,4 @@
-"""Controllers of one daemon: pools, maintenance, jobs and retention."""
+"""Wiring of a daemon's controllers: pools, maintenance, jobs and retention."""
 
 import math
 from collections.abc import Callable
@@ -10,9 +10,12 @@
 from sycamorecroft.concurrency import PublishedValue
 from sycamorecroft.configuration.actor import ConfigurationStatus
 from sycamorecroft.configuration.fleet import FleetConfiguration
-from sycamorecroft.daemon.controllers import ControllerRunner
-from sycamorecroft.daemon.demand import demand_hosts
-from sycamorecroft.daemon.job_controllers import JobControllers, JobParts
+from sycamorecroft.daemon.controller_runner import ControllerRunner
+from sycamorecroft.daemon.demand import required_hosts
+from sycamorecroft.daemon.job_controllers import (
+    JobControllerDependencies,
+    JobControllers,
+)
 from sycamorecroft.daemon.retention import Retention
 from sycamorecroft.daemon.store import PlatformClients
 from sycamorecroft.errors import PlatformError
@@ -27,24 +30,24 @@
 _STOP_TIMEOUT_S = 1.0
 
 
-class ControlInputs(NamedTuple):
-    """Snapshots that the controllers read."""
+class ControllerInputs(NamedTuple):
+    """Published values that the controllers read."""
 
     configuration: PublishedValue[ConfigurationStatus]
     view: PublishedValue[PoolView]
     membership: PublishedValue[MembershipView | None]
 
 
-class Control:
-    """Runs all controllers for which this entry host is a candidate.
+class ControllerManager:
+    """Creates the controllers of a daemon, runs them and releases their leases.
 
-    :param holder: unique for each start of the daemon.
+    :param holder: name under which leases are held; unique for each daemon start.
     """
 
     def __init__(
         self,
         platform: PlatformClients,
-        inputs: ControlInputs,
+        inputs: ControllerInputs,
         clock: Clock,
         holder: str,
     ) -> None:
@@ -73,16 +76,16 @@
             ),
         )
         self._leases = (pools_lease, maintenance_lease)
-        self._jobs = JobControllers(self._job_parts(), self._new_lease, clock)
+        self._jobs = JobControllers(self._job_dependencies(), self._new_lease, clock)
 
     def start(self) -> None:
-        """Starts all controllers."""
+        """Starts the steps of all controllers."""
         for runner in self._runners:
             runner.start()
         self._jobs.start()
 
     def stop(self) -> None:
-        """Ends the controllers and gives their leases up to other entry hosts."""
+        """Stops the controllers and releases their leases, so that others take over."""
         for runner in self._runners:
             runner.stop(_STOP_TIMEOUT_S)
         job_leases = self._jobs.stop(_STOP_TIMEOUT_S)
@@ -94,14 +97,15 @@
 
     def held_leases(self) -> tuple[str, ...]:
         """
-        :returns: names of the leases held here.
+        :returns: names of the leases that this daemon holds, sorted.
         """
         leases = (*self._leases, *self._jobs.leases())
         return tuple(sorted(lease.name for lease in leases if lease.is_held))
 
     def busy_workers(self) -> frozenset[str]:
         """
-        :returns: workers on which a controller held here may have a task running.
+        :returns: workers on which a job controller of this daemon may have running
+            tasks.
         """
         return self._jobs.busy_workers()
 
@@ -109,9 +113,9 @@
         tables = self._platform.tables
         return ControllerLease(tables, self._clock, name=name, holder=self._holder)
 
-    def _job_parts(self) -> JobParts:
+    def _job_dependencies(self) -> JobControllerDependencies:
         inputs = self._inputs
-        return JobParts(
+        return JobControllerDependencies(
             self._platform.tables,
             self._platform.tasks,
             self._platform.host_list,
@@ -123,14 +127,14 @@
     def _runner(
         self, name: str, step: Callable[[], object], lease: ControllerLease
     ) -> ControllerRunner:
-        def logged_step() -> None:
+        def run_step() -> None:
             report = step()
             problem = getattr(report, "problem", "")
             if problem:
                 _log.info("controller_problem", controller=name, problem=problem)
 
         return ControllerRunner(
-            name, logged_step, lambda: lease.is_held, self._inputs.membership.get
+            name, run_step, lambda: lease.is_held, self._inputs.membership.get
         )
 
     def _step_pools(self) -> object:
@@ -138,17 +142,17 @@
         if in_force is None:
             return None
         self._pools.configure(in_force.pools)
-        self._pools.observe_demand(self._demand_hosts(in_force))
+        self._pools.observe_demand(self._required_hosts(in_force))
         return self._pools.step()
 
     def _step_maintenance(self) -> object:
         in_force = self._inputs.configuration.get().in_force
         if in_force is not None:
-            demand = self._demand_hosts(in_force)
+            demand = self._required_hosts(in_force)
             needed = {pool: math.ceil(hosts) for pool, hosts in demand.items()}
             self.maintenance.observe_demand(needed)
         return self.maintenance.step(self._clock.now())
 
-    def _demand_hosts(self, configuration: FleetConfiguration) -> dict[str, float]:
+    def _required_hosts(self, configuration: FleetConfiguration) -> dict[str, float]:
         inputs = self._inputs
-        return demand_hosts(configuration, inputs.membership.get(), inputs.view.get())
+        return required_hosts(configuration, inputs.membership.get(), inputs.view.get())
--- a/src/sycamorecroft/daemon/demand.py
+++ b/src/sycamorecroft/daemon/demand.py
@@ -1,4 +1,4 @@
-"""Demand on the pools, as the owners of the queues tell it by gossip."""
+"""Demand on services and pools, exchanged between queue owners by gossip."""
 
 from collections import Counter
 
@@ -8,10 +8,10 @@
 from sycamorecroft.routing.owner_actor import OwnerStatuses
 
 
-def demands_of(statuses: OwnerStatuses) -> tuple[ServiceDemand, ...]:
+def service_demands(statuses: OwnerStatuses) -> tuple[ServiceDemand, ...]:
     """
-    :param statuses: queues that this entry host owns.
-    :returns: demand on each of them, in slots.
+    :param statuses: statuses of the queues that this entry host owns.
+    :returns: demand on each service, in slots, sorted by service.
     """
     return tuple(
         ServiceDemand(
@@ -24,12 +24,13 @@
     )
 
 
-def demand_hosts(
+def required_hosts(
     configuration: FleetConfiguration, membership: MembershipView | None, view: PoolView
 ) -> dict[str, float]:
-    """
-    :returns: demand of each pool in hosts at full use; pools whose queues no reached
-        entry host owns are left out.
+    """Converts the gossiped demand in slots to hosts.
+
+    :returns: number of fully used hosts that each pool needs; pools for which no
+        reached entry host reports demand are omitted.
     """
     slots: Counter[str] = Counter()
     for digest in membership.digests if membership else ():
@@ -39,11 +40,11 @@
             service = configuration.services.get(demand.service)
             if service is not None:
                 slots[service.pool] += demand.slots_count
-    sizes = _slots_per_host(view)
+    slots_per_host = _slots_per_host(view)
     return {
-        pool: slots_count / sizes[pool]
+        pool: slots_count / slots_per_host[pool]
         for pool, slots_count in slots.items()
-        if sizes.get(pool)
+        if slots_per_host.get(pool)
     }
 
 
--- a/src/sycamorecroft/daemon/peers.py
+++ b/src/sycamorecroft/daemon/peers.py
@@ -1,4 +1,4 @@
-"""Peers of a daemon: its calls to them, and what it answers."""
+"""Calls between a daemon and its peers, in both directions."""
 
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 from sycamorecroft.configuration.codec import decode_configuration, encode_configuration
 from sycamorecroft.configuration.gate import PeerSnapshot
 from sycamorecroft.errors import ConfigurationError
-from sycamorecroft.membership.actor import CheckPeer, GossipReceived
+from sycamorecroft.membership.actor import GossipReceived, ProbePeer
 from sycamorecroft.membership.state import MemberDigest
 from sycamorecroft.pools.state import PoolView
 from sycamorecroft.pools.view_actor import ViewPeers, decode_view, encode_view
@@ -19,11 +19,11 @@
 from sycamorecroft.rpc.codec import OwnerBatch, RequesterBatch
 from sycamorecroft.rpc.interfaces import DaemonSnapshot, OwnerListener, PeerHandler
 
-_GOSSIP_ANSWER_TIMEOUT_S = 0.25
+_GOSSIP_REPLY_TIMEOUT_S = 0.25
 
 
-class SnapshotPeers(ConfigurationPeers, ViewPeers):
-    """Fetches configurations and pool views from peers."""
+class PeerSnapshotSource(ConfigurationPeers, ViewPeers):
+    """Source of configurations and pool views that fetches snapshots from peers."""
 
     def __init__(self, clients: Mapping[str, PeerClient]) -> None:
         self._clients = clients
@@ -55,8 +55,8 @@
             return None
 
 
-class HandlerActors(NamedTuple):
-    """Actors that take what peers send."""
+class PeerHandlerActors(NamedTuple):
+    """Actors that process the messages of peers."""
 
     membership: pykka.ActorRef
     owner: pykka.ActorRef
@@ -64,16 +64,16 @@
 
 
 class DaemonPeerHandler(PeerHandler, OwnerListener):
-    """Passes calls of peers to the actors of this daemon.
+    """Forwards calls and messages of peers to the actors of this daemon.
 
-    :param configuration: returns what this daemon holds.
+    :param configuration: returns the configuration status of this daemon.
     :param view: returns the pool view of this daemon.
-    :param wake: called with each batch of a requester, so that ticks follow at once.
+    :param wake: called for each batch of a requester, so that ticks become frequent.
     """
 
     def __init__(
         self,
-        actors: HandlerActors,
+        actors: PeerHandlerActors,
         configuration: Callable[[], ConfigurationStatus],
         view: Callable[[], PoolView],
         wake: Callable[[], object],
@@ -87,7 +87,7 @@
         self, sender: str, digests: tuple[MemberDigest, ...]
     ) -> tuple[MemberDigest, ...]:
         return self._actors.membership.ask(
-            GossipReceived(sender, digests), timeout=_GOSSIP_ANSWER_TIMEOUT_S
+            GossipReceived(sender, digests), timeout=_GOSSIP_REPLY_TIMEOUT_S
         )
 
     def snapshot(self) -> DaemonSnapshot | None:
@@ -109,8 +109,8 @@
     def receive_from_owner(self, owner: str, batch: OwnerBatch) -> None:
         self._actors.requester.tell(OwnerBatchReceived(owner, batch))
 
-    def stream_opened(self, owner: str) -> None:
+    def on_stream_opened(self, owner: str) -> None:
         self._actors.requester.tell(StreamOpened(owner))
 
-    def stream_broken(self, owner: str) -> None:
-        self._actors.membership.tell(CheckPeer(owner))
+    def on_stream_broken(self, owner: str) -> None:
+        self._actors.membership.tell(ProbePeer(owner))
--- a/src/sycamorecroft/entry/operator_configuration.py
+++ b/src/sycamorecroft/entry/operator_configuration.py
@@ -1,23 +1,23 @@
-"""Operator interface: configuration versions."""
+"""Operator interface: reading, publishing and rolling back the configuration."""
 
 import msgspec
 from werkzeug.wrappers import Request
 
 from sycamorecroft.configuration.codec import decode_configuration, encode_configuration
-from sycamorecroft.entry.application import Answer, Route, json_answer
+from sycamorecroft.entry.application import HandlerResponse, Route, json_response
 from sycamorecroft.entry.operator_interface import (
     PREFIX,
     OperatorState,
     OperatorStores,
     decode_body,
-    named,
+    to_builtins,
 )
 
 _HISTORY_LIMIT_COUNT = 20
 
 
 class PublishBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A configuration to publish. ``configuration`` is compiled."""
+    """Body of a publication. ``configuration`` is the compiled configuration."""
 
     base_version: int
     author: str
@@ -25,7 +25,7 @@
 
 
 class RollbackBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An earlier version to publish again."""
+    """Body of a rollback to the earlier version ``to_version``."""
 
     base_version: int
     author: str
@@ -51,11 +51,11 @@
             Route("GET", f"{path}/history", self.history),
         )
 
-    def read(self, request: Request, request_id: str) -> Answer:
-        """The version published last, from the store."""
+    def read(self, request: Request, request_id: str) -> HandlerResponse:
+        """Returns the latest published version, read from the store."""
         head = self._stores.configuration.read_head()
         in_force = self._state.configuration().in_force_version
-        return json_answer(
+        return json_response(
             {
                 "version": head.version if head else 0,
                 "in_force_version": in_force,
@@ -65,25 +65,28 @@
             }
         )
 
-    def publish(self, request: Request, request_id: str) -> Answer:
-        """Publishes a configuration as the version after its base."""
+    def publish(self, request: Request, request_id: str) -> HandlerResponse:
+        """Publishes a configuration as the successor of its base version.
+
+        :raises ConfigurationConflictError: if the base version is not the latest.
+        """
         body = decode_body(request, PublishBody)
         published = self._stores.configuration.publish(
             decode_configuration(bytes(body.configuration)),
             base_version=body.base_version,
             author=body.author,
         )
-        return json_answer(named(published))
+        return json_response(to_builtins(published))
 
-    def roll_back(self, request: Request, request_id: str) -> Answer:
+    def roll_back(self, request: Request, request_id: str) -> HandlerResponse:
         """Publishes the content of an earlier version as a new version."""
         body = decode_body(request, RollbackBody)
         published = self._stores.configuration.rollback(
             body.to_version, base_version=body.base_version, author=body.author
         )
-        return json_answer(named(published))
+        return json_response(to_builtins(published))
 
-    def history(self, request: Request, request_id: str) -> Answer:
-        """Published versions, the latest first."""
+    def history(self, request: Request, request_id: str) -> HandlerResponse:
+        """Lists published versions, latest first."""
         versions = self._stores.configuration.history(_HISTORY_LIMIT_COUNT)
-        return json_answer({"versions": named(versions)})
+        return json_response({"versions": to_builtins(versions)})
--- a/src/sycamorecroft/entry/operator_explanations.py
+++ b/src/sycamorecroft/entry/operator_explanations.py
@@ -1,13 +1,13 @@
-"""Operator interface: why a host, a job or a request is where it is."""
+"""Operator interface: explanations of the state of hosts, jobs and requests."""
 
 from werkzeug.wrappers import Request
 
-from sycamorecroft.entry.application import Answer, Route, json_answer
+from sycamorecroft.entry.application import HandlerResponse, Route, json_response
 from sycamorecroft.entry.operator_interface import (
     PREFIX,
     OperatorState,
     OperatorStores,
-    named,
+    to_builtins,
 )
 from sycamorecroft.errors import RequestError
 from sycamorecroft.jobs.explanation import JobFacts, explain_job
@@ -16,7 +16,7 @@
 
 
 class ExplanationHandlers:
-    """Handlers that give the reasons in the order the decisions were taken."""
+    """Handlers that list the reasons for a state in the order of the decisions."""
 
     def __init__(self, state: OperatorState, stores: OperatorStores) -> None:
         self._state = state
@@ -24,7 +24,7 @@
 
     def routes(self) -> tuple[Route, ...]:
         """
-        :returns: the routes of explanations.
+        :returns: the routes of the explanations.
         """
         path = f"{PREFIX}/explain"
         return (
@@ -33,8 +33,11 @@
             Route("GET", f"{path}/requests/<wanted_id>", self.request),
         )
 
-    def host(self, request: Request, request_id: str, host: str) -> Answer:
-        """Findings on a host."""
+    def host(self, request: Request, request_id: str, host: str) -> HandlerResponse:
+        """Explains the state of a host.
+
+        :raises RequestError: if the host is unknown.
+        """
         inventory = self._stores.inventory.read(StorePurpose.OPERATORS)
         facts = HostFacts(
             self._stores.maintenance.snapshot(),
@@ -43,12 +46,17 @@
         )
         known = facts.snapshot.hosts.keys() | facts.declared_pools.keys()
         if host not in known:
-            raise RequestError(f"host {host!r} is unknown; list the hosts")
+            raise RequestError(
+                f"host {host!r} is unknown; list the hosts to see their names"
+            )
         findings = explain_host(host, facts)
-        return json_answer({"host": host, "findings": named(findings)})
+        return json_response({"host": host, "findings": to_builtins(findings)})
+
+    def job(self, request: Request, request_id: str, job_id: str) -> HandlerResponse:
+        """Explains the state of a job.
 
-    def job(self, request: Request, request_id: str, job_id: str) -> Answer:
-        """Findings on a job."""
+        :raises RequestError: if the job is unknown.
+        """
         record = self._stores.jobs.get(job_id)
         if record is None:
             raise RequestError(
@@ -60,13 +68,19 @@
             self._stores.jobs.list(record["account"]),
         )
         findings = explain_job(record, facts)
-        return json_answer(
-            {"job_id": job_id, "state": record["state"], "findings": named(findings)}
+        return json_response(
+            {
+                "job_id": job_id,
+                "state": record["state"],
+                "findings": to_builtins(findings),
+            }
         )
 
-    def request(self, request: Request, request_id: str, wanted_id: str) -> Answer:
-        """The record of a request that came in here; ``null`` if there is none."""
+    def request(
+        self, request: Request, request_id: str, wanted_id: str
+    ) -> HandlerResponse:
+        """Returns the record of a request to this entry host, or ``null``."""
         record = self._state.requests.find(wanted_id)
         membership = self._state.membership()
-        entry = membership.own_entry if membership else None
-        return json_answer({"entry": entry, "record": named(record)})
+        own_entry_host = membership.own_entry if membership else None
+        return json_response({"entry": own_entry_host, "record": to_builtins(record)})
--- a/src/sycamorecroft/entry/operator_maintenance.py
+++ b/src/sycamorecroft/entry/operator_maintenance.py
@@ -1,4 +1,4 @@
-"""Operator interface: maintenance waves."""
+"""Operator interface: declaring, inspecting and changing maintenance waves."""
 
 from datetime import datetime
 from typing import Annotated
@@ -6,24 +6,24 @@
 import msgspec
 from werkzeug.wrappers import Request
 
-from sycamorecroft.entry.application import Answer, Route, json_answer
+from sycamorecroft.entry.application import HandlerResponse, Route, json_response
 from sycamorecroft.entry.operator_interface import (
     PREFIX,
     OperatorState,
     OperatorStores,
     decode_body,
-    named,
+    to_builtins,
 )
 from sycamorecroft.errors import RequestError
 from sycamorecroft.maintenance import Selection, SelectionKind
 from sycamorecroft.maintenance.records import WaveRow
 
-# Twice the workers of the target size.
+# Twice the number of workers in a fleet of the target size.
 NAMES_LIMIT_COUNT = 2000
 
 
 class MaintenanceBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A maintenance wave. ``deadline`` is ISO 8601 with an offset."""
+    """Body that declares a wave. ``deadline`` is ISO 8601 with a UTC offset."""
 
     idempotency_key: Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
     kind: SelectionKind
@@ -32,7 +32,7 @@
 
 
 class MaintenanceHandlers:
-    """Handlers that declare, show and change maintenance waves."""
+    """Handlers that declare, list, explain and change maintenance waves."""
 
     def __init__(self, state: OperatorState, stores: OperatorStores) -> None:
         self._state = state
@@ -40,7 +40,7 @@
 
     def routes(self) -> tuple[Route, ...]:
         """
-        :returns: the routes on maintenance.
+        :returns: the routes for maintenance waves.
         """
         path = f"{PREFIX}/maintenance"
         wave = f"{path}/<wave_id>"
@@ -52,23 +52,23 @@
             Route("POST", f"{wave}/<action>", self.change_wave),
         )
 
-    def waves(self, request: Request, request_id: str) -> Answer:
-        """All maintenance waves."""
-        return json_answer(
+    def waves(self, request: Request, request_id: str) -> HandlerResponse:
+        """Lists all maintenance waves."""
+        return json_response(
             {"waves": [wave.record for wave in self._stores.waves.waves()]}
         )
 
-    def declare_wave(self, request: Request, request_id: str) -> Answer:
-        """Declares a maintenance wave; the same key declares it once."""
+    def declare_wave(self, request: Request, request_id: str) -> HandlerResponse:
+        """Declares a maintenance wave; idempotent by the key in the body."""
         body = decode_body(request, MaintenanceBody)
         selection = Selection(body.kind, body.names)
         wave = self._stores.waves.declare(
             body.idempotency_key, selection, body.deadline
         )
-        return _wave_answer(wave)
+        return _wave_response(wave)
 
-    def wave(self, request: Request, request_id: str, wave_id: str) -> Answer:
-        """A wave with the outcome of each host that has ended."""
+    def wave(self, request: Request, request_id: str, wave_id: str) -> HandlerResponse:
+        """Returns a wave with the outcomes of finished hosts and those remaining."""
         progress = self._stores.waves.progress(wave_id)
         view = self._state.view()
         states = {
@@ -76,31 +76,36 @@
             for host in progress.wave.record["hosts"]
             if host in view.hosts
         }
-        return json_answer(
+        return json_response(
             {
                 "wave": progress.wave.record,
-                "outcomes": named(progress.outcomes),
+                "outcomes": to_builtins(progress.outcomes),
                 "remaining_hosts": progress.remaining_hosts,
                 "host_states": states,
             }
         )
 
-    def explain_wave(self, request: Request, request_id: str, wave_id: str) -> Answer:
-        """For each host of the wave why it waits."""
+    def explain_wave(
+        self, request: Request, request_id: str, wave_id: str
+    ) -> HandlerResponse:
+        """Explains for each host of a wave why it is waiting."""
         self._stores.waves.read(wave_id)
-        return json_answer(named(self._stores.maintenance.explain(wave_id)))
+        return json_response(to_builtins(self._stores.maintenance.explain(wave_id)))
 
     def change_wave(
         self, request: Request, request_id: str, wave_id: str, action: str
-    ) -> Answer:
-        """Pauses, resumes or cancels a wave."""
+    ) -> HandlerResponse:
+        """Pauses, resumes or cancels a wave.
+
+        :raises RequestError: if ``action`` is none of these.
+        """
         waves = self._stores.waves
         actions = {"pause": waves.pause, "resume": waves.resume, "cancel": waves.cancel}
         if action not in actions:
             allowed = ", ".join(actions)
             raise RequestError(f"action {action!r} is unknown; allowed are {allowed}")
-        return _wave_answer(actions[action](wave_id))
+        return _wave_response(actions[action](wave_id))
 
 
-def _wave_answer(wave: WaveRow) -> Answer:
-    return json_answer({"wave": wave.record})
+def _wave_response(wave: WaveRow) -> HandlerResponse:
+    return json_response({"wave": wave.record})
--- a/src/sycamorecroft/entry/operator_status.py
+++ b/src/sycamorecroft/entry/operator_status.py
@@ -1,4 +1,4 @@
-"""Operator interface: status of the fleet as one daemon sees it."""
+"""Operator interface: status of the fleet as seen by one daemon."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -7,17 +7,17 @@
 from werkzeug.wrappers import Request
 
 from sycamorecroft.configuration.fleet import FleetConfiguration
-from sycamorecroft.entry.application import Answer, Route, json_answer
-from sycamorecroft.entry.operator_interface import PREFIX, OperatorState, named
+from sycamorecroft.entry.application import HandlerResponse, Route, json_response
+from sycamorecroft.entry.operator_interface import PREFIX, OperatorState, to_builtins
 from sycamorecroft.membership.state import MembershipView
 from sycamorecroft.pools.state import HostState, PoolView
 
-_PLANNED_OUT = (HostState.DRAINING, HostState.DRAINED, HostState.REBOOTING)
+_PLANNED_OUT_STATES = (HostState.DRAINING, HostState.DRAINED, HostState.REBOOTING)
 _RATIO_TOLERANCE = 1e-9
 
 
-class EntryStatus(NamedTuple):
-    """What gossip tells of an entry host."""
+class EntryHostStatus(NamedTuple):
+    """Status of an entry host according to its latest gossiped digest."""
 
     entry: str
     is_reached: bool
@@ -29,10 +29,10 @@
 
 
 class PoolStatus(NamedTuple):
-    """Counts of a pool's hosts.
+    """Host counts of a pool.
 
-    ``allowed_out_count`` is how many hosts may be out of service for planned work;
-    ``budget_left_count`` is how many more may go out now.
+    ``allowed_out_count`` is the number of hosts that may be out of service at a time,
+    and ``budget_left_count`` the number that may still be taken out for planned work.
     """
 
     pool: str
@@ -46,57 +46,57 @@
 
     @property
     def hosts_count(self) -> int:
-        """Hosts of the pool in any state."""
+        """Number of hosts of the pool in any state."""
         return self.active_count + self.planned_out_count + self.failed_out_count
 
     @property
     def missing_count(self) -> int:
-        """Hosts that the pool lacks of those it is configured for."""
+        """Number of hosts by which the pool is below its configured size."""
         return max(0, self.configured_count - self.hosts_count)
 
     @property
     def reserve_count(self) -> int:
-        """Active hosts beyond those the pool is configured for."""
+        """Number of active hosts in excess of the configured size."""
         return max(0, self.active_count - self.configured_count)
 
 
 class StatusHandlers:
-    """Handler of the status; it never blocks on the store."""
+    """Handler of the fleet status; it does not access the store."""
 
     def __init__(self, state: OperatorState) -> None:
         self._state = state
 
     def routes(self) -> tuple[Route, ...]:
         """
-        :returns: the route of the status.
+        :returns: the route of the fleet status.
         """
         return (Route("GET", f"{PREFIX}/status", self.status),)
 
-    def status(self, request: Request, request_id: str) -> Answer:
-        """Fleet overview as this daemon sees it."""
+    def status(self, request: Request, request_id: str) -> HandlerResponse:
+        """Returns an overview of the fleet as seen by this daemon."""
         state = self._state
         configuration = state.configuration()
         membership = state.membership()
         in_force = configuration.in_force
-        return json_answer(
+        return json_response(
             {
                 "entry": membership.own_entry if membership else None,
                 "in_force_version": configuration.in_force_version,
                 "staged_version": configuration.staged_version,
                 "view_version": state.view().version,
-                "entries": named(_entries(membership)),
+                "entries": to_builtins(_entry_host_statuses(membership)),
                 "live_entries": membership.live if membership else (),
                 "expected_entries_count": (
                     membership.expected_count if membership else 0
                 ),
-                "pools": _states_by_pool(state.view()),
-                "pool_counts": named(pool_statuses(in_force, state.view())),
+                "pools": _count_states_by_pool(state.view()),
+                "pool_counts": to_builtins(pool_statuses(in_force, state.view())),
                 "services": sorted(in_force.services) if in_force else (),
-                "queues": named(state.queues()),
-                "store": named(state.store()),
+                "queues": to_builtins(state.queues()),
+                "store": to_builtins(state.store()),
                 "admitted_count": state.admitted_count(),
                 "held_leases": state.held_leases(),
-                "recent_failures": named(state.requests.recent_counts()),
+                "recent_failures": to_builtins(state.requests.recent_counts()),
             }
         )
 
@@ -105,7 +105,7 @@
     configuration: FleetConfiguration | None, view: PoolView
 ) -> tuple[PoolStatus, ...]:
     """
-    :returns: counts of each pool that is configured, in order of name.
+    :returns: host counts of each configured pool, ordered by pool name.
     """
     states: dict[str, Counter[HostState]] = {}
     for record in view.hosts.values():
@@ -114,29 +114,33 @@
     statuses = []
     for pool in sorted(pools):
         counts = states.get(pool.name, Counter())
-        allowed = int(counts.total() * pool.max_unavailable_ratio + _RATIO_TOLERANCE)
-        planned_out = sum(counts[state] for state in _PLANNED_OUT)
-        out = planned_out + counts[HostState.OUT]
+        allowed_out_count = int(
+            counts.total() * pool.max_unavailable_ratio + _RATIO_TOLERANCE
+        )
+        planned_out_count = sum(counts[state] for state in _PLANNED_OUT_STATES)
+        out_count = planned_out_count + counts[HostState.OUT]
         statuses.append(
             PoolStatus(
                 pool=pool.name,
                 is_spare=pool.is_spare,
                 configured_count=pool.hosts_count,
                 active_count=counts[HostState.ACTIVE],
-                planned_out_count=planned_out,
+                planned_out_count=planned_out_count,
                 failed_out_count=counts[HostState.OUT],
-                allowed_out_count=allowed,
-                budget_left_count=max(0, allowed - out),
+                allowed_out_count=allowed_out_count,
+                budget_left_count=max(0, allowed_out_count - out_count),
             )
         )
     return tuple(statuses)
 
 
-def _entries(membership: MembershipView | None) -> Iterable[EntryStatus]:
+def _entry_host_statuses(
+    membership: MembershipView | None,
+) -> Iterable[EntryHostStatus]:
     if membership is None:
         return []
     return [
-        EntryStatus(
+        EntryHostStatus(
             entry=digest.entry,
             is_reached=digest.entry in membership.reached,
             staged_version=digest.staged_version,
@@ -149,7 +153,7 @@
     ]
 
 
-def _states_by_pool(view: PoolView) -> dict[str, dict[str, int]]:
+def _count_states_by_pool(view: PoolView) -> dict[str, dict[str, int]]:
     pools: dict[str, dict[str, int]] = {}
     for record in view.hosts.values():
         states = pools.setdefault(record["pool"], {})
--- a/src/sycamorecroft/rpc/codec.py
+++ b/src/sycamorecroft/rpc/codec.py
@@ -1,4 +1,4 @@
-"""Conversion between protobuf messages and the messages of the slices."""
+"""Conversion between protobuf messages and the messages of routing and membership."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 
 
 class RequesterBatch(NamedTuple):
-    """Content of one message from a requester to an owner."""
+    """Content of one message from a requester to a queue owner."""
 
     sender: str
     requests: tuple[SlotRequest, ...] = ()
@@ -28,7 +28,7 @@
 
 
 class OwnerBatch(NamedTuple):
-    """Content of one message from an owner to a requester."""
+    """Content of one message from a queue owner to a requester."""
 
     grants: tuple[SlotGrant, ...] = ()
     refusals: tuple[SlotRefusal, ...] = ()
@@ -36,38 +36,45 @@
     queued: tuple[str, ...] = ()
 
 
-def _remaining_ms(deadline_s: float, now_s: float) -> int:
+def _to_remaining_ms(deadline_s: float, now_s: float) -> int:
     return max(0, int((deadline_s - now_s) * _MS_PER_S))
 
 
 def merge_requester_batches(batches: Iterable[RequesterBatch]) -> RequesterBatch:
-    """Joins batches of one sender in their order."""
-    parts = tuple(batches)
+    """Concatenates batches of one sender, preserving their order.
+
+    :param batches: at least one batch.
+    """
+    ordered = tuple(batches)
     return RequesterBatch(
-        sender=parts[0].sender,
-        requests=tuple(item for part in parts for item in part.requests),
-        releases=tuple(item for part in parts for item in part.releases),
-        held=tuple(item for part in parts for item in part.held),
-        synced_services=tuple(s for part in parts for s in part.synced_services),
+        sender=ordered[0].sender,
+        requests=tuple(item for batch in ordered for item in batch.requests),
+        releases=tuple(item for batch in ordered for item in batch.releases),
+        held=tuple(item for batch in ordered for item in batch.held),
+        synced_services=tuple(
+            service for batch in ordered for service in batch.synced_services
+        ),
     )
 
 
 def merge_owner_batches(batches: Iterable[OwnerBatch]) -> OwnerBatch:
-    """Joins batches for one requester in their order."""
-    parts = tuple(batches)
+    """Concatenates batches for one requester, preserving their order."""
+    ordered = tuple(batches)
     return OwnerBatch(
-        grants=tuple(item for part in parts for item in part.grants),
-        refusals=tuple(item for part in parts for item in part.refusals),
-        disclaimed=tuple(item for part in parts for item in part.disclaimed),
-        queued=tuple(item for part in parts for item in part.queued),
+        grants=tuple(item for batch in ordered for item in batch.grants),
+        refusals=tuple(item for batch in ordered for item in batch.refusals),
+        disclaimed=tuple(item for batch in ordered for item in batch.disclaimed),
+        queued=tuple(item for batch in ordered for item in batch.queued),
     )
 
 
 def encode_requester_batch(
     batch: RequesterBatch, now_s: float
 ) -> peer_pb2.RequesterMessage:
-    """
-    :param now_s: monotonic time of this process, to send remaining times.
+    """Encodes a batch; deadlines are sent as the time remaining until them.
+
+    :param now_s: monotonic time of this process in seconds.
+    :returns: the message for the queue owner.
     """
     return peer_pb2.RequesterMessage(
         sender=batch.sender,
@@ -84,18 +91,21 @@
         service=request.service,
         team=request.team,
         urgency=request.urgency,
-        remaining_ms=_remaining_ms(request.deadline_s, now_s),
+        remaining_ms=_to_remaining_ms(request.deadline_s, now_s),
         excluded_hosts=request.excluded_hosts,
     )
 
 
 def _encode_release(release: SlotRelease) -> peer_pb2.SlotRelease:
     service_time_s = release.service_time_s
-    # 0 means that nothing was dispatched, so a dispatch counts at least 1 ms.
-    milliseconds = 0 if service_time_s is None else max(1, int(service_time_s * 1000))
+    # On the wire, 0 means that nothing was dispatched, so a dispatched request reports
+    # at least 1 ms.
+    service_time_ms = (
+        0 if service_time_s is None else max(1, int(service_time_s * 1000))
+    )
     return peer_pb2.SlotRelease(
         ticket=release.ticket,
-        service_time_ms=milliseconds,
+        service_time_ms=service_time_ms,
         host_failed=release.host_failed,
     )
 
@@ -105,15 +115,17 @@
         ticket=held.ticket,
         service=held.service,
         host=held.host,
-        remaining_ms=_remaining_ms(held.deadline_s, now_s),
+        remaining_ms=_to_remaining_ms(held.deadline_s, now_s),
     )
 
 
 def decode_requester_batch(
     message: peer_pb2.RequesterMessage, now_s: float
 ) -> RequesterBatch:
-    """
-    :param now_s: monotonic time of this process, to which remaining times are added.
+    """Decodes a message; deadlines are the current time plus the time remaining.
+
+    :param now_s: monotonic time of this process in seconds.
+    :returns: the batch of the requester that sent the message.
     """
     sender = message.sender
     return RequesterBatch(
@@ -155,16 +167,18 @@
 
 def encode_owner_batch(batch: OwnerBatch) -> peer_pb2.OwnerMessage:
     """
-    :returns: the message for one requester.
+    :returns: the message for the requester to which the batch is addressed.
     """
     return peer_pb2.OwnerMessage(
         grants=[
-            peer_pb2.SlotGrant(ticket=g.ticket, host=g.host, address=g.address)
-            for g in batch.grants
+            peer_pb2.SlotGrant(
+                ticket=grant.ticket, host=grant.host, address=grant.address
+            )
+            for grant in batch.grants
         ],
         refusals=[
-            peer_pb2.SlotRefusal(ticket=r.ticket, reason=r.reason)
-            for r in batch.refusals
+            peer_pb2.SlotRefusal(ticket=refusal.ticket, reason=refusal.reason)
+            for refusal in batch.refusals
         ],
         not_owner=[peer_pb2.NotOwner(ticket=ticket) for ticket in batch.disclaimed],
         queued=batch.queued,
@@ -174,13 +188,16 @@
 def decode_owner_batch(message: peer_pb2.OwnerMessage, requester: str) -> OwnerBatch:
     """
     :param requester: name of this entry host.
+    :returns: the batch that a queue owner sent to this entry host.
     """
     return OwnerBatch(
         grants=tuple(
-            SlotGrant(g.ticket, requester, g.host, g.address) for g in message.grants
+            SlotGrant(grant.ticket, requester, grant.host, grant.address)
+            for grant in message.grants
         ),
         refusals=tuple(
-            SlotRefusal(r.ticket, requester, r.reason) for r in message.refusals
+            SlotRefusal(refusal.ticket, requester, refusal.reason)
+            for refusal in message.refusals
         ),
         disclaimed=tuple(disclaimer.ticket for disclaimer in message.not_owner),
         queued=tuple(message.queued),
@@ -189,7 +206,7 @@
 
 def encode_digest(digest: MemberDigest) -> peer_pb2.MemberDigest:
     """
-    :returns: the digest as a message.
+    :returns: the protobuf message of a digest, with its demands as nested messages.
     """
     fields = digest._asdict()
     fields["demands"] = [
@@ -201,7 +218,7 @@
 
 def decode_digest(message: peer_pb2.MemberDigest) -> MemberDigest:
     """
-    :returns: the message as a digest.
+    :returns: the digest that a protobuf message carries.
     """
     *fields, _ = MemberDigest._fields
     demands = tuple(
