--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT / "src"), str(ROOT)]
 
-from standins.faults import FaultSwitch, Operation  # noqa: E402
+from standins.faults import FaultInjector, Operation  # noqa: E402
 from standins.memory_objects import MemoryObjects  # noqa: E402
 from standins.memory_tables import MemoryTables  # noqa: E402
 from sycamorecroft.claims import ClaimKey, ClaimService, ClaimSettings  # noqa: E402
@@ -60,7 +60,7 @@
     """
     :returns: outcome of claims that arrive at ``times``, each with a key of its own.
     """
-    tables = MemoryTables(FaultSwitch(timeout_s=None))
+    tables = MemoryTables(FaultInjector(timeout_s=None))
     tables.faults.set_delay(STORE_DELAY_S)
     guarded = GuardedTableService(
         tables, budget=budget, clock=SystemClock(), random_source=random.Random(1)
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -160,12 +160,12 @@
         :returns: seconds until the last daemon had the version or a later one in force.
         """
         times = (
-            self._in_force_s(entry, commit.version) for entry in self._site.entries
+            self._in_force_s(entry, commit.version) for entry in self._site.entry_hosts
         )
         return max(times) - commit.committed_s
 
     def _in_force_s(self, entry: str, version: int) -> float:
-        for line in self._site.logs(entry).splitlines():
+        for line in self._site.read_log(entry).splitlines():
             if '"configuration_in_force"' not in line:
                 continue
             event = json.loads(line)
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -70,7 +70,7 @@
     counts = site.call(site.platform_address, "GET", "/counts").json()["calls"]
     return _Reading(
         time.monotonic(),
-        tuple(read_usage(site.process_id(entry)) for entry in site.entries),
+        tuple(read_usage(site.process_id(entry)) for entry in site.entry_hosts),
         sent_bytes(grpc_ports(site)),
         Counter({(c["purpose"], c["operation"]): c["count"] for c in counts}),
     )
@@ -163,8 +163,8 @@
 def _measure(site: Site, window_s: float, windows_count: int) -> None:
     site.start_platform()
     write_host_rows(site)
-    for entry in site.entries:
-        site.start_entry(entry)
+    for entry in site.entry_hosts:
+        site.start_entry_host(entry)
     site.wait_for_listeners()
     site.publish_configuration()
     site.wait_until_ready()
--- a/benchmarks/jobs.py
+++ b/benchmarks/jobs.py
@@ -17,7 +17,7 @@
 sys.path[:0] = [str(ROOT / "src"), str(ROOT)]
 
 from standins.faults import Operation  # noqa: E402
-from standins.hooked import Hooked, Moment  # noqa: E402
+from standins.hooked import HookedProxy, HookPoint  # noqa: E402
 from standins.job_pool import GIB, JobPool  # noqa: E402
 from sycamorecroft.configuration.fleet import Urgency  # noqa: E402
 from sycamorecroft.jobs import JobSettings  # noqa: E402
@@ -178,8 +178,8 @@
     def __init__(self) -> None:
         self.total_s = 0.0
 
-    def __call__(self, name: str, moment: Moment) -> None:
-        sign = 1.0 if moment is Moment.AFTER else -1.0
+    def __call__(self, name: str, moment: HookPoint) -> None:
+        sign = 1.0 if moment is HookPoint.AFTER else -1.0
         self.total_s += sign * time.process_time()
 
 
@@ -191,7 +191,7 @@
     for number in range(jobs_count):
         pool.submit(f"key-{number}", command="duration_s=10", size=size)
     controller = pool.add_controller(
-        Hooked(pool.platform.tables, standins), Hooked(pool.platform.tasks, standins)
+        HookedProxy(pool.platform.tables, standins), HookedProxy(pool.platform.tasks, standins)
     ).controller
     pool.controllers[0].lease.maintain()
     counts = pool.platform.tables.call_counts()
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -89,7 +89,7 @@
             ),
             Target(
                 "entry host",
-                (site.http_address(site.entries[0]),),
+                (site.http_address(site.entry_hosts[0]),),
                 "/v1/services/{service}/requests",
             ),
         )
@@ -184,7 +184,7 @@
 
     def _processor_s(self) -> float:
         site = self._site
-        ids = (site.process_id(entry) for entry in site.entries)
+        ids = (site.process_id(entry) for entry in site.entry_hosts)
         return sum(read_usage(process_id).processor_s for process_id in ids)
 
     def _used_since(self, started_s: float, used_s: float) -> float:
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -131,7 +131,7 @@
         PoolShape(f"p{number}", size, RACK_SIZE, 0.25)
         for number, size in enumerate(sizes)
     )
-    return MemoryFleet(pools, entries_count=9, host_list_lag_s=10.0, reboot_s=60.0)
+    return MemoryFleet(pools, entry_hosts_count=9, host_list_lag_s=10.0, reboot_s=60.0)
 
 
 def view_row(workers_count: int) -> Row:
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -84,7 +84,7 @@
     """
     world = MemoryFleet(
         fleet.pools,
-        entries_count=ENTRIES_COUNT,
+        entry_hosts_count=ENTRIES_COUNT,
         host_list_lag_s=HOST_LIST_LAG_S,
         reboot_s=REBOOT_S,
     )
@@ -106,7 +106,7 @@
             return Rollout(elapsed_s, writes_count, reads_count)
         world.clock.advance(1.0)
         if elapsed_s % ACKNOWLEDGE_S == 0:
-            for entry in world.entries.values():
+            for entry in world.entry_hosts.values():
                 entry.step()
     raise AssertionError(f"the wave did not finish in {LIMIT_S} s")
 
--- a/benchmarks/site_flood.py
+++ b/benchmarks/site_flood.py
@@ -91,7 +91,7 @@
     :returns: summary of the background work.
     """
     # Callers of a killed entry host are the balancer's matter.
-    entries = [entry for entry in site.entries if entry not in killed]
+    entries = [entry for entry in site.entry_hosts if entry not in killed]
     addresses = [site.http_address(entry) for entry in entries]
     flows = [_flow(*item, MEAN_RATE_PER_S) for item in _BACKGROUND]
     phases = [
@@ -153,7 +153,7 @@
                 port_shift=PORT_SHIFT,
                 service_time_ms=SERVICE_TIME_MS,
             )
-            killed = site.entries[: options.killed_hosts]
+            killed = site.entry_hosts[: options.killed_hosts]
             try:
                 site.start()
                 summary = _run_flood(site, Path(folder), flood, options.seed, killed)
--- a/benchmarks/site_sizes.py
+++ b/benchmarks/site_sizes.py
@@ -115,7 +115,7 @@
     :returns: ports on which the daemons listen for their peers.
     """
     first = _FIRST_GRPC_PORT + PORT_SHIFT
-    return tuple(range(first, first + len(site.entries)))
+    return tuple(range(first, first + len(site.entry_hosts)))
 
 
 def changed(configuration: FleetConfiguration, number: int) -> FleetConfiguration:
@@ -135,7 +135,7 @@
         "author": "benchmark",
         "configuration": msgspec.Raw(encode_configuration(configuration)),
     }
-    response = site.operate(site.entries[0], "PUT", "configuration", body)
+    response = site.call_operator(site.entry_hosts[0], "PUT", "configuration", body)
     if response.status != 200:
         message = f"publishing failed with status {response.status}: {response.body!r}"
         raise RuntimeError(message)
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -63,7 +63,7 @@
         is_repeatable=False,
     )
     return PlanBody(
-        addresses=[site.http_address(entry) for entry in site.entries],
+        addresses=[site.http_address(entry) for entry in site.entry_hosts],
         path="/v1/services/{service}/requests",
         account=ACCOUNT,
         seed=seed,
--- a/features/environment.py
+++ b/features/environment.py
@@ -50,7 +50,7 @@
 def _require_free_ports(site: Site) -> None:
     """Fails if another site has the ports: its daemons would answer for this one."""
     addresses = [site.platform_address, site.backend_control_address]
-    addresses += [site.http_address(entry) for entry in site.entries]
+    addresses += [site.http_address(entry) for entry in site.entry_hosts]
     for address in addresses:
         host, _, port = address.rpartition(":")
         with socket.socket() as probe:
@@ -68,13 +68,13 @@
 
 def after_scenario(context, scenario):
     site = context.site
-    for entry in site.entries:
+    for entry in site.entry_hosts:
         if entry not in context.killed:
             site.signal(entry, signal.SIGCONT)
     site.clear_faults()
     for entry in context.killed:
         site.kill(entry)
-        site.start_entry(entry)
+        site.start_entry_host(entry)
     if context.killed:
         site.wait_for_listeners()
         site.wait_until_ready()
@@ -87,7 +87,7 @@
 
 def _print_errors(site: Site) -> None:
     """Prints what the daemons logged at error level."""
-    for entry in site.entries:
-        lines = site.logs(entry).splitlines()
+    for entry in site.entry_hosts:
+        lines = site.read_log(entry).splitlines()
         for line in [line for line in lines if '"level": "error"' in line][-5:]:
             print(f"{entry}: {line[:2000]}")
--- a/features/steps/bad_input.py
+++ b/features/steps/bad_input.py
@@ -77,7 +77,7 @@
 
 
 def _call(context, method, path, headers, body):
-    context.entry = context.site.entries[0]
+    context.entry = context.site.entry_hosts[0]
     address = context.site.http_address(context.entry)
     connection = HTTPConnection(address, timeout=20)
     # The daemon may answer before it has read the whole body.
@@ -101,7 +101,7 @@
 
 @when("a caller closes its connection in the middle of a body")
 def _cut_body(context):
-    context.entry = context.site.entries[0]
+    context.entry = context.site.entry_hosts[0]
     host, _, port = context.site.http_address(context.entry).rpartition(":")
     with socket.create_connection((host, int(port))) as connection:
         head = (
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -46,8 +46,8 @@
     """
     :returns: the owner of a queue first, then ``count`` other entry hosts.
     """
-    owner = owner_of(service, site.entries)
-    others = [entry for entry in site.entries if entry != owner]
+    owner = owner_of(service, site.entry_hosts)
+    others = [entry for entry in site.entry_hosts if entry != owner]
     return [owner, *others[:count]]
 
 
@@ -88,7 +88,7 @@
 def _reach_store(context):
     site = context.site
     wait_until(
-        lambda: all(_store_age_s(site, e) < 2.0 for e in site.entries),
+        lambda: all(_store_age_s(site, e) < 2.0 for e in site.entry_hosts),
         "all daemons reach the store",
         5,
     )
@@ -138,7 +138,7 @@
 def restart(context, entries):
     """Starts daemons again and waits until all are ready."""
     for entry in entries:
-        context.site.start_entry(entry)
+        context.site.start_entry_host(entry)
         context.killed.discard(entry)
     context.site.wait_for_listeners()
     context.site.wait_until_ready()
--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -47,13 +47,13 @@
         "author": author,
         "configuration": msgspec.Raw(encode_configuration(changed)),
     }
-    return site.operate(entry, "PUT", "configuration", body)
+    return site.call_operator(entry, "PUT", "configuration", body)
 
 
 def _watch(context):
     if not hasattr(context, "watchers"):
         site = context.site
-        context.watchers = [VersionWatcher(site, entry) for entry in site.entries]
+        context.watchers = [VersionWatcher(site, entry) for entry in site.entry_hosts]
         for watcher in context.watchers:
             context.add_cleanup(watcher.stop)
             watcher.start()
@@ -68,7 +68,7 @@
     with ThreadPoolExecutor(2) as executor:
         futures = [
             executor.submit(publish, site, author, base_version, entry)
-            for author, entry in zip(authors, site.entries, strict=False)
+            for author, entry in zip(authors, site.entry_hosts, strict=False)
         ]
         answers = [future.result() for future in futures]
     context.published_s = time.monotonic()
@@ -80,7 +80,7 @@
     _watch(context)
     base_version = head_version(context.site)
     context.version = base_version + 1
-    answer = publish(context.site, author, base_version, context.site.entries[0])
+    answer = publish(context.site, author, base_version, context.site.entry_hosts[0])
     require(answer.status == 200, answer.body)
     context.published_s = time.monotonic()
 
@@ -105,7 +105,7 @@
 def _replace(context, entry):
     kill(context, entry)
     context.site.kill(entry)
-    context.site.start_entry(entry)
+    context.site.start_entry_host(entry)
     context.killed.discard(entry)
 
 
@@ -127,7 +127,7 @@
     site, version = context.site, context.version
     left_s = context.published_s + IN_FORCE_LIMIT_S - time.monotonic()
     wait_until(
-        lambda: all(in_force_version(site, e) >= version for e in site.entries),
+        lambda: all(in_force_version(site, e) >= version for e in site.entry_hosts),
         f"version {version} in force on all entry hosts",
         left_s,
     )
--- a/features/steps/draining.py
+++ b/features/steps/draining.py
@@ -40,7 +40,7 @@
         "names": names,
         "deadline": (datetime.now(UTC) + timedelta(hours=1)).isoformat(),
     }
-    answer = context.site.operate(entry, "POST", "maintenance", body)
+    answer = context.site.call_operator(entry, "POST", "maintenance", body)
     require(answer.status == 200, answer.body)
     return answer.json()["wave"]["id"]
 
@@ -48,13 +48,13 @@
 @when("an operator declares maintenance of hosts {names}")
 def _declare_hosts(context, names):
     context.declared_s = time.monotonic()
-    entry = context.site.entries[1]
+    entry = context.site.entry_hosts[1]
     context.waves = [_declare(context, entry, "hosts", names.split(","))]
 
 
 @when("two operators at once declare rack {rack} and hosts {names}")
 def _declare_twice(context, rack, names):
-    entries = context.site.entries
+    entries = context.site.entry_hosts
     with ThreadPoolExecutor(2) as executor:
         futures = [
             executor.submit(_declare, context, entries[1], "rack", [rack]),
@@ -99,7 +99,7 @@
 
 
 def _state(site, wave):
-    answer = site.operate(site.entries[3], "GET", f"maintenance/{wave}")
+    answer = site.call_operator(site.entry_hosts[3], "GET", f"maintenance/{wave}")
     return answer.json()["wave"]["state"] if answer.status == 200 else None
 
 
--- a/features/steps/kills_and_freezes.py
+++ b/features/steps/kills_and_freezes.py
@@ -99,7 +99,7 @@
 def _rejoined(context):
     site, owner = context.site, context.failing[0]
     wait_until(
-        lambda: all(owner in site.status(e)["live_entries"] for e in site.entries),
+        lambda: all(owner in site.status(e)["live_entries"] for e in site.entry_hosts),
         f"{owner} is live everywhere",
         10,
     )
@@ -111,8 +111,8 @@
     restart(context, sorted(context.killed))
     wait_until(
         lambda: all(
-            len(site.status(entry)["live_entries"]) == len(site.entries)
-            for entry in site.entries
+            len(site.status(entry)["live_entries"]) == len(site.entry_hosts)
+            for entry in site.entry_hosts
         ),
         "all entry hosts are live everywhere",
         15,
--- a/features/steps/planned_stop.py
+++ b/features/steps/planned_stop.py
@@ -27,7 +27,7 @@
         self._site.signal(self.entry, signal.SIGTERM)
         while self._reports():
             time.sleep(0.05)
-        self.exit_code = self._site.stop_entry(self.entry, STOP_LIMIT_S)
+        self.exit_code = self._site.stop_entry_host(self.entry, STOP_LIMIT_S)
 
     def _reports(self):
         address = self._site.http_address(self.entry)
--- a/features/steps/single_dispatch.py
+++ b/features/steps/single_dispatch.py
@@ -57,14 +57,14 @@
 @when("{count:d} orders are each sent at once through {hosts_count:d} entry hosts")
 def _send_through_several(context, count, hosts_count):
     context.keys = _names(context, count)
-    entries = context.site.entries[:hosts_count]
+    entries = context.site.entry_hosts[:hosts_count]
     _send_orders(context, [dispatch(k, e) for k in context.keys for e in entries])
 
 
 @when("{count:d} orders are sent at once")
 def _send_once(context, count):
     context.keys = _names(context, count)
-    entries = context.site.entries
+    entries = context.site.entry_hosts
     context.first = _send_orders(
         context,
         [dispatch(k, entries[n % len(entries)]) for n, k in enumerate(context.keys)],
@@ -73,13 +73,13 @@
 
 @when("the same orders are sent again")
 def _send_again(context):
-    entry = context.site.entries[-1]
+    entry = context.site.entry_hosts[-1]
     context.again = _send_orders(context, [dispatch(k, entry) for k in context.keys])
 
 
 @when("the orders that were not run are sent again until they are run")
 def _send_until_run(context):
-    entries = context.site.entries
+    entries = context.site.entry_hosts
     missing = [s.order.key for s in context.first if s.outcome != RUN]
     deadline_s = time.monotonic() + REPEAT_LIMIT_S
     turn = 0
@@ -97,7 +97,7 @@
 def _freeze_claimant(context):
     site = context.site
     context.keys = _names(context, 1)
-    context.claimant = site.entries[0]
+    context.claimant = site.entry_hosts[0]
     executor = ThreadPoolExecutor(1)
     context.add_cleanup(executor.shutdown)
     order = dispatch(context.keys[0], context.claimant)
@@ -117,7 +117,7 @@
 
 @when("the same order is sent through another entry host")
 def _send_elsewhere(context):
-    send_one(context, dispatch(context.keys[0], context.site.entries[1]))
+    send_one(context, dispatch(context.keys[0], context.site.entry_hosts[1]))
 
 
 @when("the claimant is resumed")
--- a/features/steps/store_outage.py
+++ b/features/steps/store_outage.py
@@ -63,7 +63,7 @@
 @then("an order is run through each entry host")
 def _orders(context):
     name = unique_name(context)
-    for entry in context.site.entries:
+    for entry in context.site.entry_hosts:
         sent = send_one(context, dispatch(f"{name}-{entry}", entry))
         require(sent.outcome == RUN, sent)
 
@@ -73,9 +73,9 @@
     site = context.site
     wait_until(
         lambda: all(
-            set(site.status(entry)["live_entries"]) == set(site.entries)
+            set(site.status(entry)["live_entries"]) == set(site.entry_hosts)
             and all(e["may_own_queues"] for e in site.status(entry)["entries"])
-            for entry in site.entries
+            for entry in site.entry_hosts
         ),
         "all daemons are registered",
         15,
--- a/features/steps/truthful_answers.py
+++ b/features/steps/truthful_answers.py
@@ -30,7 +30,7 @@
     "{concurrency:d} at a time"
 )
 def _send_mixed(context, ratings, calls, orders, concurrency):
-    entries = context.site.entries
+    entries = context.site.entry_hosts
     name = unique_name(context)
     mixed = [rating(f"{name}-{n}", "") for n in range(ratings)]
     mixed += [Order("hotline", f"call {name}-{n}".encode(), "") for n in range(calls)]
@@ -44,7 +44,7 @@
 
 @when("{count:d} ratings of 4 MB are sent, {concurrency:d} at a time")
 def _send_large(context, count, concurrency):
-    entries = context.site.entries
+    entries = context.site.entry_hosts
     orders = [
         Order(
             "rating", random.Random(n).randbytes(4_000_000), entries[n % len(entries)]
--- a/features/support/callers.py
+++ b/features/support/callers.py
@@ -110,7 +110,7 @@
     :returns: entry hosts that report to be ready.
     """
     ready = []
-    for entry in site.entries:
+    for entry in site.entry_hosts:
         try:
             answer = site.call(site.http_address(entry), "GET", "/readyz", timeout_s=1)
         except HTTPError:
--- a/properties/site_run.py
+++ b/properties/site_run.py
@@ -98,7 +98,7 @@
             Callers(self._site, "rating", CALLERS_COUNT, _rating),
             Callers(self._site, "order", CALLERS_COUNT, orders.make, pause_s=0.3),
         ]
-        versions = [VersionWatcher(self._site, e) for e in self._site.entries]
+        versions = [VersionWatcher(self._site, e) for e in self._site.entry_hosts]
         rows = HostRowWatcher(self._site)
         calls = StoreCallWatcher(self._site)
         watchers = [*versions, rows, calls]
@@ -137,7 +137,7 @@
         print(f"[{time.strftime('%H:%M:%S')}] {text}", flush=True)
 
     def _choose_entry(self) -> str | None:
-        entry = self._random.choice(self._site.entries)
+        entry = self._random.choice(self._site.entry_hosts)
         if entry in self._down or len(self._down) >= FAILING_MAX_COUNT:
             return None
         self._down.add(entry)
@@ -154,7 +154,7 @@
 
     def _start(self, entry: str) -> None:
         self._say(f"start {entry}")
-        self._site.start_entry(entry)
+        self._site.start_entry_host(entry)
         self._later(5.0, lambda: self._down.discard(entry))
 
     def _freeze(self) -> None:
@@ -179,7 +179,7 @@
 
     def _replace(self, entry: str) -> None:
         # A request waits for its service's timeout at most, rating 10 s, dispatch 15 s.
-        self._exit_codes.append(self._site.stop_entry(entry, timeout_s=40.0))
+        self._exit_codes.append(self._site.stop_entry_host(entry, timeout_s=40.0))
         self._start(entry)
 
     def _fail_store(self) -> None:
@@ -241,13 +241,13 @@
     def _operate(
         self, entry: str, method: str, path: str, body: object, text: str
     ) -> None:
-        answer = self._site.operate(entry, method, path, body)
+        answer = self._site.call_operator(entry, method, path, body)
         self._say(f"{text} through {entry}: {answer.status}")
         if answer.status == 500:
             self.problems.append(f"{text}: {answer.body!r}")
 
     def _any_running(self) -> str:
-        running = [entry for entry in self._site.entries if entry not in self._down]
+        running = [entry for entry in self._site.entry_hosts if entry not in self._down]
         return self._random.choice(running)
 
     def _head_version(self) -> int | None:
@@ -271,7 +271,7 @@
         duration_s = wait_until(
             lambda: all(
                 site.status(entry)["in_force_version"] == head_version
-                for entry in site.entries
+                for entry in site.entry_hosts
             ),
             f"version {head_version} in force on all entry hosts",
             SETTLE_TIMEOUT_S,
--- a/properties/test_jobs_runs.py
+++ b/properties/test_jobs_runs.py
@@ -9,7 +9,7 @@
 
 from properties.seeds import SEED
 from standins.faults import Operation
-from standins.hooked import Hooked, Moment
+from standins.hooked import HookedProxy, HookPoint
 from standins.job_pool import GIB, JobPool
 from standins.scripted_tables import ScriptedTables
 from sycamorecroft.jobs import JobSettings
@@ -35,13 +35,13 @@
 
     def new_controller(self):
         running = self.pool.add_controller(
-            self.tables, Hooked(self.pool.platform.tasks, self.pause)
+            self.tables, HookedProxy(self.pool.platform.tasks, self.pause)
         )
         self.pool.controllers.remove(running)
         return running
 
     def pause(self, name, moment):
-        if name != self.pause_at or moment is not Moment.BEFORE:
+        if name != self.pause_at or moment is not HookPoint.BEFORE:
             return
         self.pause_at = None
         self.is_paused = True
--- a/properties/test_pools.py
+++ b/properties/test_pools.py
@@ -63,7 +63,7 @@
         self.planner = self.fleet.pool_controller("planner", self.tables[0])
         self.waves = WaveStore(self.fleet.connect(), self.fleet.clock)
         self.gone_hosts: set[str] = set()
-        self.entries_count = len(self.fleet.entries)
+        self.entries_count = len(self.fleet.entry_hosts)
         self.refusals: Counter[str] = Counter()
 
     def run(self, action: Action) -> None:
@@ -80,7 +80,7 @@
         return self.fleet.workers[number % len(self.fleet.workers)].host
 
     def entry(self, number: int) -> MemoryEntryHost:
-        entries = list(self.fleet.entries.values())
+        entries = list(self.fleet.entry_hosts.values())
         return entries[number % len(entries)]
 
     def registry(self, number: int) -> PoolRegistry:
@@ -167,12 +167,12 @@
 
     def replace_entry(self, first: int, second: int) -> None:
         old = self.entry(first)
-        del self.fleet.entries[old.name]
+        del self.fleet.entry_hosts[old.name]
         self.entries_count += 1
         name = f"entry{self.entries_count}"
         new = MemoryEntryHost(self.fleet.tables, self.fleet.clock, name, f"{name}/1")
         new.reader.adopt(old.reader.view)
-        self.fleet.entries[name] = new
+        self.fleet.entry_hosts[name] = new
         self.declare_hosts()
 
     def fail_host(self, first: int, second: int) -> None:
@@ -197,9 +197,9 @@
 
     def recover(self) -> None:
         """Ends all faults, after which all moves and waves must end."""
-        for item in [*self.tables, *(e.tables for e in self.fleet.entries.values())]:
+        for item in [*self.tables, *(e.tables for e in self.fleet.entry_hosts.values())]:
             item.faults.clear()
-        for entry in self.fleet.entries.values():
+        for entry in self.fleet.entry_hosts.values():
             entry.is_frozen = False
             entry.grants.clear()
         self.repair_hosts(0, 0)
--- a/properties/test_service_runs.py
+++ b/properties/test_service_runs.py
@@ -13,8 +13,8 @@
     SERVICE,
     ServiceDriver,
     Site,
-    queue_of,
-    step_of,
+    make_queue,
+    make_step,
 )
 from sycamorecroft.scheduling.calls import RunOutcome
 from sycamorecroft.scheduling.rows import ProgressRow, decode_row
@@ -58,11 +58,11 @@
                 ),
             ]
         elif draw < 0.34:
-            worker.is_cut = not worker.is_cut
+            worker.is_unreachable = not worker.is_unreachable
         elif draw < 0.40:
-            worker.loses_answers = not worker.loses_answers
+            worker.loses_responses = not worker.loses_responses
         elif draw < 0.44:
-            self.site.tables.lost_answers_count = 1
+            self.site.tables.lost_responses_count = 1
         elif draw < 0.48:
             self.site.tables.delayed_count = 1
         elif draw < 0.52:
@@ -75,10 +75,10 @@
             self.site.cancel(f"j{self.random.randrange(self.jobs_count)}")
 
     def _submit(self) -> None:
-        steps = [step_of(self.random.randint(1, 4))]
+        steps = [make_step(self.random.randint(1, 4))]
         if self.random.random() < 0.5:
-            steps.append(step_of(2, after=(0,)))
-        queue = queue_of(attempts_count=self.random.randint(1, 3))
+            steps.append(make_step(2, after=(0,)))
+        queue = make_queue(attempts_count=self.random.randint(1, 3))
         self.site.submit(f"j{self.jobs_count}", *steps, queue=queue)
         self.jobs_count += 1
 
@@ -87,7 +87,7 @@
             for task in list(worker.running):
                 if self.random.random() < 0.2:
                     is_failed = self.random.random() < 0.1
-                    worker.end(
+                    worker.finish(
                         task, RunOutcome.FAILED if is_failed else RunOutcome.DONE
                     )
 
--- a/scripts/quick_start.py
+++ b/scripts/quick_start.py
@@ -100,7 +100,7 @@
         super().__init__(daemon=True)
         self._site = site
         self._service = service
-        self._entry = site.entries[index % len(site.entries)]
+        self._entry = site.entry_hosts[index % len(site.entry_hosts)]
         self.stopped = threading.Event()
         self.outcomes: Counter[str] = Counter()
 
@@ -128,19 +128,19 @@
 
 
 def _send_samples(site: Site, scenario: Scenario) -> None:
-    for entry, sample in zip(site.entries, scenario.samples, strict=False):
+    for entry, sample in zip(site.entry_hosts, scenario.samples, strict=False):
         headers = {"Content-Type": sample.content_type, **sample.headers}
         response = site.request(entry, sample.service, sample.body, headers)
         _show(entry, sample, response)
         _require(response.status == 200, f"{sample.service} was not served")
     _say("the same order again through another entry host:")
-    again = site.request(site.entries[-1], sample.service, sample.body, headers)
-    _show(site.entries[-1], sample, again)
+    again = site.request(site.entry_hosts[-1], sample.service, sample.body, headers)
+    _show(site.entry_hosts[-1], sample, again)
     _require(again.body == response.body, "the order was not answered as before")
 
 
 def _show_state(site: Site) -> None:
-    status = site.status(site.entries[0])
+    status = site.status(site.entry_hosts[0])
     _say(f"entry hosts: {', '.join(status['live_entries'])}")
     for pool, states in status["pools"].items():
         _say(f"pool {pool}: {states}")
@@ -160,9 +160,9 @@
         ),
     }
     started_s = time.monotonic()
-    response = site.operate(site.entries[0], "PUT", "configuration", body)
+    response = site.call_operator(site.entry_hosts[0], "PUT", "configuration", body)
     _require(response.status == 200, f"version 2 was refused: {response.body!r}")
-    waiting = set(site.entries)
+    waiting = set(site.entry_hosts)
     while waiting:
         _require(time.monotonic() - started_s < 10, f"not in force on {waiting}")
         for entry in sorted(waiting):
@@ -199,7 +199,7 @@
         "names": [rack],
         "deadline": (datetime.now(UTC) + timedelta(hours=1)).isoformat(),
     }
-    response = site.operate(site.entries[1], "POST", "maintenance", body)
+    response = site.call_operator(site.entry_hosts[1], "POST", "maintenance", body)
     _require(response.status == 200, f"maintenance was refused: {response.body!r}")
     wave = response.json()["wave"]
     _say(f"maintenance of {rack} declared: {', '.join(wave['hosts'])}")
@@ -210,7 +210,7 @@
     shown: dict[str, Any] = {}
 
     def is_finished() -> bool:
-        answer = site.operate(site.entries[2], "GET", f"maintenance/{wave_id}")
+        answer = site.call_operator(site.entry_hosts[2], "GET", f"maintenance/{wave_id}")
         if answer.status != 200:
             return False
         progress = answer.json()
@@ -244,8 +244,8 @@
         _show_state(site)
         _change_parameter(site, scenario)
         _maintain(site, scenario)
-        exit_code = site.stop_entry(site.entries[0])
-        _say(f"planned stop of {site.entries[0]}: exit code {exit_code}")
+        exit_code = site.stop_entry_host(site.entry_hosts[0])
+        _say(f"planned stop of {site.entry_hosts[0]}: exit code {exit_code}")
         _require(exit_code == 0, "the planned stop cut off requests")
     finally:
         site.stop()
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomised soak: real nodes as processes, faults from outside, promises checked."""
+"""Randomised soak of node processes under external faults, checking guarantees."""
--- a/soak/observer.py
+++ b/soak/observer.py
@@ -1,4 +1,4 @@
-"""Checks the promises from what callers and workers see."""
+"""Checks the guarantees of job execution against what callers and workers observe."""
 
 import threading
 import time
@@ -9,101 +9,130 @@
 from standins.memory_worker import MemoryWorker
 
 
-class JobKnowledge(NamedTuple):
-    """What callers had been told of a job."""
+class KnownJobState(NamedTuple):
+    """State of a job that had been reported to callers."""
 
     is_accepted: bool
     is_complete: bool
 
 
 class Observer:
-    """What callers were told and what workers ran. Thread-safe."""
+    """Record of responses to callers and runs on workers. Thread-safe.
+
+    :ivar accepted: jobs with a submission that was accepted.
+    :ivar unknown_outcome: jobs with a submission whose outcome is unknown.
+    :ivar rejected: jobs with a submission that was rejected.
+    :ivar cancelled: jobs for which a cancellation was sent.
+    :ivar complete: jobs reported as complete.
+    :ivar violations: one message for each violation of a guarantee.
+    """
 
     def __init__(self, workers: Iterable[MemoryWorker]) -> None:
         self._workers = tuple(workers)
         self._lock = threading.Lock()
         self.accepted: set[str] = set()
-        self.doubtful: set[str] = set()
-        self.refused: set[str] = set()
+        self.unknown_outcome: set[str] = set()
+        self.rejected: set[str] = set()
         self.cancelled: set[str] = set()
         self.complete: set[str] = set()
-        self._submitting: Counter[str] = Counter()
-        self.broken: list[str] = []
+        self._open_submissions: Counter[str] = Counter()
+        self.violations: list[str] = []
 
-    def begin_submission(self, job_id: str) -> None:
-        """Records that a submission is sent; it may be stored before it is answered."""
+    def record_submission_start(self, job_id: str) -> None:
+        """Records that a submission is sent. It may be stored before its response."""
         with self._lock:
-            self._submitting[job_id] += 1
+            self._open_submissions[job_id] += 1
 
     def record_submission(self, job_id: str, status: int) -> None:
-        """Records the answer to a submission."""
+        """Records the response to a submission.
+
+        :param status: HTTP status; 0 if there was no response.
+        """
         with self._lock:
-            self._submitting[job_id] -= 1
+            self._open_submissions[job_id] -= 1
             if status == 200:
                 self.accepted.add(job_id)
             elif status in (429, 503):
-                self.refused.add(job_id)
+                self.rejected.add(job_id)
             else:
-                self.doubtful.add(job_id)
+                self.unknown_outcome.add(job_id)
 
-    def known(self, job_id: str) -> JobKnowledge:
+    def known_state(self, job_id: str) -> KnownJobState:
         """
-        :returns: what was known of a job before a call, since answers to calls that
-            overlap may be recorded in another order.
+        :returns: state of a job known so far. Callers read it before a call, since
+            responses of overlapping calls may be recorded in a different order.
         """
         with self._lock:
-            return JobKnowledge(job_id in self.accepted, job_id in self.complete)
+            return KnownJobState(job_id in self.accepted, job_id in self.complete)
 
     def record_state(
-        self, job_id: str, before: JobKnowledge, status: int, state: str
+        self, job_id: str, known_before: KnownJobState, status: int, state: str
     ) -> None:
-        """Records a job's state as a caller was told."""
+        """Records the state of a job reported to a caller, and checks it.
+
+        :param known_before: state known before the call.
+        """
         with self._lock:
-            if status == 410 and before.is_accepted:
-                self._break(f"accepted job {job_id} is said not to exist")
+            if status == 410 and known_before.is_accepted:
+                self._record_violation(
+                    f"accepted job {job_id} was reported as not existing"
+                )
             if state == "failed":
-                self._break(f"job {job_id} is said to have failed without cause")
+                self._record_violation(
+                    f"job {job_id} was reported as failed, but workers fail no tasks"
+                )
             if state == "complete":
                 self.complete.add(job_id)
-            elif status == 200 and before.is_complete:
-                self._break(f"job {job_id} is {state} after it was complete")
+            elif status == 200 and known_before.is_complete:
+                self._record_violation(
+                    f"job {job_id} was reported as {state} after complete"
+                )
 
     def check_workers(self) -> None:
-        """Checks that no task runs on two workers, and none of a refused job at all."""
-        running = [name for w in self._workers for name in list(w.running)]
+        """Checks that no task runs on two workers, and that no rejected job has run."""
+        running = [name for worker in self._workers for name in list(worker.running)]
         with self._lock:
             for name in {name for name in running if running.count(name) > 1}:
-                self._break(f"task {name} runs on two workers")
+                self._record_violation(f"task {name} runs on two workers")
             for worker in self._workers:
                 for start in list(worker.started):
                     job_id = start.task.partition(".")[0]
-                    if self._is_refused(job_id):
-                        self._break(f"task {start.task} of a refused job was started")
-
-    def _is_refused(self, job_id: str) -> bool:
-        """Whether every submission was answered, and each with a refusal."""
-        is_open = self._submitting[job_id] or job_id in self.accepted | self.doubtful
-        return job_id in self.refused and not is_open
+                    if self._is_rejected(job_id):
+                        self._record_violation(
+                            f"task {start.task} of a rejected job was started"
+                        )
 
-    def check_ends(self) -> None:
-        """Checks that no task was started again after it had ended done."""
-        ended: dict[str, float] = {}
+    def _is_rejected(self, job_id: str) -> bool:
+        """
+        :returns: whether each submission got a response, and each was a rejection.
+        """
+        may_exist = (
+            self._open_submissions[job_id]
+            or job_id in self.accepted | self.unknown_outcome
+        )
+        return job_id in self.rejected and not may_exist
+
+    def check_finished_tasks(self) -> None:
+        """Checks that no task was started again after its completion."""
+        completed_s: dict[str, float] = {}
         for worker in self._workers:
-            for task, at_s in list(worker.done_s.items()):
-                ended[task] = min(at_s, ended.get(task, at_s))
+            for task, time_s in list(worker.completion_acknowledged_s.items()):
+                completed_s[task] = min(time_s, completed_s.get(task, time_s))
         with self._lock:
             for worker in self._workers:
-                for task, at_s in list(worker.started_s.items()):
-                    if at_s > ended.get(task, time.monotonic() + 1):
-                        self._break(f"task {task} was started after it had ended")
+                for task, time_s in list(worker.latest_start_s.items()):
+                    if time_s > completed_s.get(task, time.monotonic() + 1):
+                        self._record_violation(
+                            f"task {task} was started after it had completed"
+                        )
 
-    def _break(self, message: str) -> None:
-        if message not in self.broken:
-            self.broken.append(message)
+    def _record_violation(self, message: str) -> None:
+        if message not in self.violations:
+            self.violations.append(message)
 
-    def missing(self) -> set[str]:
+    def unfinished_jobs(self) -> set[str]:
         """
-        :returns: accepted jobs that are neither complete nor cancelled.
+        :returns: accepted jobs that are neither known as complete nor cancelled.
         """
         with self._lock:
             return self.accepted - self.complete - self.cancelled
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy that delays, cuts, resets or silences connections."""
+"""Loopback proxy that delays, stalls or resets connections."""
 
 import contextlib
 import socket
@@ -12,16 +12,24 @@
 
 
 class LinkMode(StrEnum):
-    """What happens to bytes. ``ONE_WAY`` drops answers, ``SILENT`` both directions."""
+    """Treatment of data on a link.
+
+    ``PASS``: forwarded. ``DELAY``: forwarded with a delay. ``STALLED``: held in both
+    directions until the mode changes. ``ONE_WAY``: requests are forwarded and responses
+    held until the mode changes.
+    """
 
     PASS = "pass"
     DELAY = "delay"
-    SILENT = "silent"
+    STALLED = "silent"
     ONE_WAY = "one_way"
 
 
 class Proxy:
-    """Passes connections on to one address. Its mode may change at any time."""
+    """Forwards connections to one address.
+
+    :ivar mode: treatment of data; may change at any time.
+    """
 
     def __init__(self, target: tuple[str, int], *, delay_s: float = 0.3) -> None:
         self._target = target
@@ -34,12 +42,12 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """Stops listening and cuts all connections."""
+        """Stops listening and resets all connections."""
         self._listener.close()
         self.reset_all()
 
     def reset_all(self) -> None:
-        """Resets all connections; new ones work."""
+        """Resets all connections; new ones are accepted."""
         with self._lock:
             connections, self._connections = self._connections, set()
         for connection in connections:
@@ -51,40 +59,46 @@
     def _accept(self) -> None:
         while True:
             try:
-                near, _ = self._listener.accept()
-                far = socket.create_connection(self._target, timeout=5)
+                client, _ = self._listener.accept()
+                upstream = socket.create_connection(self._target, timeout=5)
             except OSError:
                 if self._listener.fileno() < 0:
                     return
                 continue
-            far.settimeout(None)
+            upstream.settimeout(None)
             with self._lock:
-                self._connections |= {near, far}
-            for source, sink, is_answer in ((near, far, False), (far, near, True)):
+                self._connections |= {client, upstream}
+            for source, sink, is_response in (
+                (client, upstream, False),
+                (upstream, client, True),
+            ):
                 threading.Thread(
-                    target=self._copy, args=(source, sink, is_answer), daemon=True
+                    target=self._copy, args=(source, sink, is_response), daemon=True
                 ).start()
 
     def _copy(
-        self, source: socket.socket, sink: socket.socket, is_answer: bool
+        self, source: socket.socket, sink: socket.socket, is_response: bool
     ) -> None:
         with contextlib.suppress(OSError):
             while chunk := source.recv(_CHUNK_BYTES):
-                if not self._hold(is_answer, source):
+                if not self._wait_for_link(is_response, source):
                     break
                 sink.sendall(chunk)
-        for end in (source, sink):
+        for connection in (source, sink):
             with contextlib.suppress(OSError):
-                end.close()
+                connection.close()
         with self._lock:
             self._connections -= {source, sink}
 
-    def _hold(self, is_answer: bool, source: socket.socket) -> bool:
-        """Waits as the mode says; bytes of a cut connection wait until it heals."""
+    def _wait_for_link(self, is_response: bool, source: socket.socket) -> bool:
+        """Delays or holds data according to the mode.
+
+        :returns: whether the connection is still open.
+        """
         if self.mode is LinkMode.DELAY:
             time.sleep(self._delay_s)
-        while self.mode is LinkMode.SILENT or (
-            self.mode is LinkMode.ONE_WAY and is_answer
+        while self.mode is LinkMode.STALLED or (
+            self.mode is LinkMode.ONE_WAY and is_response
         ):
             if source.fileno() < 0:
                 return False
--- a/soak/site.py
+++ b/soak/site.py
@@ -1,4 +1,4 @@
-"""Nodes as processes, with the platform's stand-ins behind proxies."""
+"""Site of a soak run: node processes, and the platform's stand-ins behind proxies."""
 
 import json
 import os
@@ -13,9 +13,9 @@
 import urllib3
 
 from soak.proxy import Proxy
-from standins.platform_http import MachineServer, StoreServer, WorkerServer
+from standins.platform_http import HostServer, StoreServer, WorkerServer
 
-READY_LIMIT_S = 60.0
+READY_TIMEOUT_S = 60.0
 ROOT = Path(__file__).resolve().parent.parent
 FLEET = {
     "version": 1,
@@ -36,45 +36,47 @@
 
 def free_port() -> int:
     """
-    :returns: a port that nobody listens on.
+    :returns: a loopback port that is currently free.
     """
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         return listener.getsockname()[1]
 
 
-def _endpoint(address: str) -> tuple[str, int]:
+def _split_address(address: str) -> tuple[str, int]:
     host, _, port = address.partition(":")
     return host, int(port)
 
 
 def _is_ready(http: urllib3.PoolManager, node: "NodeProcess") -> bool:
     try:
-        return http.request("GET", f"http://{node.ready}/api/readyz").status == 200
+        return (
+            http.request("GET", f"http://{node.ready_address}/api/readyz").status == 200
+        )
     except urllib3.exceptions.HTTPError:
         return False
 
 
 class NodeProcess:
-    """A node and its own link to the store."""
+    """Node process with a proxy of its own to the store."""
 
-    def __init__(self, name: str, store: StoreServer, machines: str, folder: Path):
+    def __init__(self, name: str, store: StoreServer, hosts_address: str, folder: Path):
         self.name = name
-        self.link = Proxy(_endpoint(store.address))
-        self.front = f"127.0.0.1:{free_port()}"
-        self.ready = f"127.0.0.1:{free_port()}"
-        self._settings = folder / f"{name}.jsonc"
-        self._log = folder / f"{name}.log"
+        self.link = Proxy(_split_address(store.address))
+        self.front_address = f"127.0.0.1:{free_port()}"
+        self.ready_address = f"127.0.0.1:{free_port()}"
+        self._settings_path = folder / f"{name}.jsonc"
+        self._log_path = folder / f"{name}.log"
         self._process: subprocess.Popen | None = None
         self.is_paused = False
         settings = {
             "host": name,
             "data_centre": "dc1",
-            "front_address": self.front,
-            "ready_address": self.ready,
+            "front_address": self.front_address,
+            "ready_address": self.ready_address,
             "metrics_address": f"127.0.0.1:{free_port()}",
             "store": {"address": self.link.address, "row_limit_bytes": 65536},
-            "machines": {"address": machines, "lease_ms": 3000},
+            "machines": {"address": hosts_address, "lease_ms": 3000},
             "bounds": {
                 "grace_s": 6,
                 "lease_max_ms": 10000,
@@ -82,20 +84,20 @@
                 "upkeep_s": 2,
             },
         }
-        self._settings.write_text(json.dumps(settings), encoding="utf-8")
+        self._settings_path.write_text(json.dumps(settings), encoding="utf-8")
 
     @property
     def is_running(self) -> bool:
-        """Whether the process lives."""
+        """Whether the process has been started and has not ended."""
         return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
-        """Starts the process; its log grows over restarts."""
+        """Starts the process; restarts append to the same log."""
         environment = os.environ | {
-            "SYCAMORECROFT_SETTINGS": str(self._settings),
+            "SYCAMORECROFT_SETTINGS": str(self._settings_path),
             "PYTHONPATH": str(ROOT / "src"),
         }
-        with self._log.open("ab") as log:
+        with self._log_path.open("ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", "sycamorecroft.node"],
                 cwd=ROOT,
@@ -105,14 +107,14 @@
             )
         self.is_paused = False
 
-    def send(self, number: signal.Signals) -> None:
-        """Sends a signal to the process, by its id."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Sends a signal to the process, if it is running."""
         if self.is_running:
             os.kill(self._process.pid, number)
             self.is_paused = number == signal.SIGSTOP
 
-    def end(self) -> None:
-        """Kills the process and waits for it."""
+    def kill(self) -> None:
+        """Kills the process and waits until it has ended."""
         if self.is_running:
             self._process.kill()
         if self._process is not None:
@@ -120,19 +122,22 @@
 
 
 class SoakSite:
-    """Store, workers and nodes of one soak run."""
+    """Store, hosts, workers and nodes of one soak run.
+
+    :ivar folder: folder with the settings and logs of the nodes.
+    """
 
     def __init__(self, nodes_count: int, workers_count: int) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="soak-"))
         self.store = StoreServer(free_port())
-        self.machines = MachineServer(free_port())
+        self.hosts = HostServer(free_port())
         self.workers: list[WorkerServer] = []
         self.worker_links: list[Proxy] = []
         self.store.put("op", "config", FLEET)
         for number in range(workers_count):
             self._add_worker(number)
         self.nodes = [
-            NodeProcess(f"h{n}", self.store, self.machines.address, self.folder)
+            NodeProcess(f"h{n}", self.store, self.hosts.address, self.folder)
             for n in range(nodes_count)
         ]
         for node in self.nodes:
@@ -141,22 +146,24 @@
     def wait_until_ready(self) -> None:
         """Waits until all nodes accept jobs.
 
-        :raises TimeoutError: when they don't in time.
+        :raises TimeoutError: when a node is not ready within ``READY_TIMEOUT_S``.
         """
         http = urllib3.PoolManager(retries=False, timeout=2.0)
-        end_s = time.monotonic() + READY_LIMIT_S
+        deadline_s = time.monotonic() + READY_TIMEOUT_S
         for node in self.nodes:
             while not _is_ready(http, node):
-                if time.monotonic() > end_s:
-                    raise TimeoutError(f"{node.name} isn't ready, see {self.folder}")
+                if time.monotonic() > deadline_s:
+                    raise TimeoutError(
+                        f"{node.name} is not ready in time, see logs in {self.folder}"
+                    )
                 time.sleep(0.1)
 
     def _add_worker(self, number: int) -> None:
-        server = WorkerServer(free_port(), task_s=0.3)
-        link = Proxy(_endpoint(server.address))
+        server = WorkerServer(free_port(), task_duration_s=0.3)
+        link = Proxy(_split_address(server.address))
         self.workers.append(server)
         self.worker_links.append(link)
-        entry = {
+        registration = {
             "service": ("rating", "dispatch")[number % 2],
             "addr": link.address,
             "state": "ready",
@@ -164,18 +171,18 @@
             "labels": ["a", f"r{number % 3}"],
             "born": 1,
         }
-        self.store.put("servers", f"i-{number}", entry)
+        self.store.put("servers", f"i-{number}", registration)
 
     @property
     def links(self) -> list[Proxy]:
-        """All proxies."""
+        """Proxies of nodes and workers."""
         return [node.link for node in self.nodes] + self.worker_links
 
     def close(self) -> None:
-        """Ends what this site has started."""
+        """Ends all processes, proxies and servers of the site."""
         for node in self.nodes:
-            node.end()
+            node.kill()
         for link in self.links:
             link.close()
-        for server in (self.store, self.machines, *self.workers):
+        for server in (self.store, self.hosts, *self.workers):
             server.stop()
--- a/src/sycamorecroft/claims/tests/test_claims.py
+++ b/src/sycamorecroft/claims/tests/test_claims.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from standins.faults import FaultSwitch, Operation
+from standins.faults import FaultInjector, Operation
 from standins.memory_objects import MemoryObjects
 from standins.memory_tables import MemoryTables
 from standins.scripted_tables import ScriptedTables
@@ -47,7 +47,7 @@
         self.services = []
 
     def entry_host(self, tables=None, **settings):
-        tables = tables or self.tables.connect(FaultSwitch(timeout_s=None))
+        tables = tables or self.tables.connect(FaultInjector(timeout_s=None))
         service = ClaimService(
             tables, self.objects, SystemClock(), settings=ClaimSettings(**settings)
         )
@@ -217,7 +217,7 @@
 
 def test_claim_is_refused_at_its_deadline_and_released(store):
     """Guards against a caller blocked past its deadline, and a claim never released."""
-    tables = store.tables.connect(FaultSwitch(timeout_s=None))
+    tables = store.tables.connect(FaultInjector(timeout_s=None))
     tables.faults.set_delay(0.3, count=1, operation=Operation.WRITE)
     service = store.entry_host(tables)
     start_s = time.monotonic()
--- a/src/sycamorecroft/cli/tests/test_fleet_commands.py
+++ b/src/sycamorecroft/cli/tests/test_fleet_commands.py
@@ -60,9 +60,9 @@
         self.loses_response = False
         self.records = RequestRecords(clock)
         digests = [
-            MemberDigest(name, "1", 1, 1, 1, 1, 0, True) for name in fleet.entries
+            MemberDigest(name, "1", 1, 1, 1, 1, 0, True) for name in fleet.entry_hosts
         ]
-        names = tuple(fleet.entries)
+        names = tuple(fleet.entry_hosts)
         membership = MembershipView(entry, names, names[:2], len(names), tuple(digests))
         # Batches of submissions wait in real time.
         self.jobs = JobStore(tables, SystemClock())
@@ -136,7 +136,7 @@
     parameters = load_parameters(SITE / "street-safety-trust.jsonc")
     template = load_template(SITE / "template.jsonc")
     configuration = compile_configuration(template, [parameters], 1)
-    daemons = [Daemon(fleet, entry, configuration) for entry in list(fleet.entries)[:2]]
+    daemons = [Daemon(fleet, entry, configuration) for entry in list(fleet.entry_hosts)[:2]]
     for daemon in daemons:
         daemon.jobs.start()
         daemon.thread.start()
@@ -175,7 +175,7 @@
     explained = tool.run_json("maintenance", "explain", wave["id"])["hosts"]
     assert {item["reason"] for item in explained} == {"wave_paused"}
     tool.run("maintenance", "resume", wave["id"])
-    frozen = next(iter(tool.fleet.entries.values()))
+    frozen = next(iter(tool.fleet.entry_hosts.values()))
     frozen.is_frozen = True
     controller = tool.daemons[0].controller
     for _ in range(12):
@@ -202,7 +202,7 @@
     answer = urllib3.request("POST", url, body=b"reading")
     request_id = answer.headers["Sycamorecroft-Request-Id"]
     reply = tool.run_json("explain", "request", request_id)
-    assert reply["entry"] == list(tool.fleet.entries)[1]
+    assert reply["entry"] == list(tool.fleet.entry_hosts)[1]
     assert reply["record"]["reason"] == "expected_wait"
     error = tool.run("explain", "request", "none", code=ExitCode.NOT_FOUND)
     assert "these daemons didn't answer: http://127.0.0.1:1" in error
@@ -215,7 +215,7 @@
     shown = tool.run("status")
     for part in (
         "daemon at http://127.0.0.1:1 doesn't answer",
-        f"entry host {list(tool.fleet.entries)[2]} is not reached",
+        f"entry host {list(tool.fleet.entry_hosts)[2]} is not reached",
         "pool rating has 4 of 8 configured hosts",
         "no daemon that answers owns the queue of service hotline",
     ):
--- a/src/sycamorecroft/configuration/tests/test_store.py
+++ b/src/sycamorecroft/configuration/tests/test_store.py
@@ -1,6 +1,6 @@
 import pytest
 
-from standins.faults import FaultSwitch, Operation
+from standins.faults import FaultInjector, Operation
 from standins.memory_tables import MemoryTables
 from sycamorecroft.clock import ManualClock
 from sycamorecroft.configuration import store as store_module
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def faults():
-    return FaultSwitch(sleep=lambda _: None)
+    return FaultInjector(sleep=lambda _: None)
 
 
 @pytest.fixture
--- a/src/sycamorecroft/jobs/tests/test_controller.py
+++ b/src/sycamorecroft/jobs/tests/test_controller.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from standins.hooked import Hooked, Moment
+from standins.hooked import HookedProxy, HookPoint
 from standins.job_pool import GIB, JobPool
 from standins.scripted_tables import ScriptedTables
 from sycamorecroft.errors import NotLeaseHolderError, StoreOutcomeUnknownError
@@ -38,8 +38,8 @@
     :returns: whether the controller crashed before the jobs were done.
     """
     hook = CrashAt(count)
-    tables = Hooked(pool.platform.tables, hook)
-    running = pool.add_controller(tables, Hooked(pool.platform.tasks, hook))
+    tables = HookedProxy(pool.platform.tables, hook)
+    running = pool.add_controller(tables, HookedProxy(pool.platform.tasks, hook))
     try:
         pool.run(6.0)
     except Crash:
@@ -85,7 +85,7 @@
     resumed = []
 
     def pause(name, moment):
-        if name == "start" and moment is Moment.BEFORE and not resumed:
+        if name == "start" and moment is HookPoint.BEFORE and not resumed:
             resumed.append(True)
             pool.controllers = [pool.add_controller()]
             pool.platform.tasks._is_worker = lambda name: name != "w0"
@@ -94,7 +94,7 @@
             [job] = pool.jobs()
             assert (job["state"], job["attempt"]) == (JobState.RUNNING, 2)
 
-    first = pool.add_controller(tasks=Hooked(pool.platform.tasks, pause))
+    first = pool.add_controller(tasks=HookedProxy(pool.platform.tasks, pause))
     pool.submit("key", command="")
     first.step(pool.clock.monotonic_s())
     assert resumed
@@ -110,14 +110,14 @@
 
     def pause(name, moment):
         is_commit = name == "transact" and first.lease.is_held
-        if is_commit and moment is Moment.BEFORE and not resumed:
+        if is_commit and moment is HookPoint.BEFORE and not resumed:
             resumed.append(True)
             pool.controllers = [pool.add_controller()]
             workers = pool.workers.by_name
             pool.workers.by_name = {"w3": workers["w3"]._replace(is_active=False)}
             pool.run(20.0)
 
-    first = pool.add_controller(Hooked(pool.platform.tables, pause))
+    first = pool.add_controller(HookedProxy(pool.platform.tables, pause))
     pool.submit("key", command="")
     first.step(pool.clock.monotonic_s())
     assert resumed
@@ -131,12 +131,12 @@
     lost = []
 
     def lose(name, moment):
-        wanted = Moment.AFTER if takes_effect else Moment.BEFORE
+        wanted = HookPoint.AFTER if takes_effect else HookPoint.BEFORE
         if name == "start" and moment is wanted and not lost:
             lost.append(True)
             raise StoreOutcomeUnknownError("lost")
 
-    pool.add_controller(tasks=Hooked(pool.platform.tasks, lose))
+    pool.add_controller(tasks=HookedProxy(pool.platform.tasks, lose))
     pool.submit("key")
     pool.run(6.0)
     assert lost
@@ -333,7 +333,7 @@
         if name == "list_tasks" and pool.clock.monotonic_s() < 5.0:
             pool.clock.advance(15.0)
 
-    pool.add_controller(tasks=Hooked(pool.platform.tasks, pause))
+    pool.add_controller(tasks=HookedProxy(pool.platform.tasks, pause))
     pool.submit("key")
     pool.run(20.0)
     assert pool.states() == {"succeeded": 1}
--- a/src/sycamorecroft/maintenance/tests/test_controller.py
+++ b/src/sycamorecroft/maintenance/tests/test_controller.py
@@ -292,7 +292,7 @@
 def test_explanation_names_the_entry_host_that_blocks(fleet: MemoryFleet) -> None:
     """Guards against an operator who must search for what holds a wave."""
     wave_id = _declare(fleet)
-    fleet.entries["entry2"].is_frozen = True
+    fleet.entry_hosts["entry2"].is_frozen = True
     controller = fleet.maintenance("a")
     for _ in range(20):
         controller.step(fleet.clock.now())
@@ -324,7 +324,7 @@
     """Guards against a pause after each host, because the platform's list lags."""
     fleet.platform.hosts.lag_s = 10.0
     wave_id = _declare(fleet, Selection(SelectionKind.POOL, ("a", "b")))
-    for entry in fleet.entries.values():
+    for entry in fleet.entry_hosts.values():
         entry.step()
     assert _run(fleet, wave_id, fleet.maintenance("a")) < 4 * 40
 
--- a/src/sycamorecroft/node/tests/test_table_watcher.py
+++ b/src/sycamorecroft/node/tests/test_table_watcher.py
@@ -45,11 +45,11 @@
     tables = MemoryPartitions()
     watcher, keys = _watch(tables)
     _wait_for(lambda: watcher._version is not None)
-    tables.is_dark = True
+    tables.is_unavailable = True
     time.sleep(0.1)
-    tables.is_dark = False
+    tables.is_unavailable = False
     _put(tables, "a")
-    tables.forget_history()
+    tables.discard_history()
     _put(tables, "b")
     _wait_for(lambda: {"a", "b"} <= set(keys))
     watcher.stop()
@@ -58,10 +58,10 @@
 def test_watching_continues_after_store_outage():
     """Guards against a watcher that ends with its first failed call."""
     tables = MemoryPartitions()
-    tables.is_dark = True
+    tables.is_unavailable = True
     watcher, keys = _watch(tables)
     time.sleep(0.3)
-    tables.is_dark = False
+    tables.is_unavailable = False
     _put(tables, "a")
     _wait_for(lambda: keys == ["a"])
     watcher.stop()
--- a/src/sycamorecroft/node/tests/test_worker_directory.py
+++ b/src/sycamorecroft/node/tests/test_worker_directory.py
@@ -60,6 +60,6 @@
     _put(tables, "w0", _registration("rating"))
     directory.refresh()
     _put(tables, "w0", None)
-    tables.forget_history()
+    tables.discard_history()
     assert directory.refresh() == {"rating"}
     assert not _worker_ids(directory, "rating")
--- a/src/sycamorecroft/ownership/tests/test_ownership.py
+++ b/src/sycamorecroft/ownership/tests/test_ownership.py
@@ -142,9 +142,9 @@
 
 def test_store_outage_changes_no_owner(cluster):
     """Guards against takeovers from live owners whose rows are old after an outage."""
-    cluster.tables.is_dark = True
+    cluster.tables.is_unavailable = True
     cluster.run(6.0)
-    cluster.tables.is_dark = False
+    cluster.tables.is_unavailable = False
     cluster.run(4.0)
     assert set(cluster.epochs().values()) == {1}
 
@@ -189,6 +189,6 @@
     """Guards against a service whose owner isn't aware of its claim."""
     cluster = _Cluster(1)
     cluster.tables.faulty_table = OWNERS_TABLE
-    cluster.tables.lost_answers_count = 2
+    cluster.tables.lost_responses_count = 2
     cluster.run(4.0)
     assert sorted(cluster.owners()) == sorted(SERVICES)
--- a/src/sycamorecroft/pools/tests/test_registry.py
+++ b/src/sycamorecroft/pools/tests/test_registry.py
@@ -159,13 +159,13 @@
 def test_partitioned_entry_host_is_named_as_the_blocker(fleet: MemoryFleet) -> None:
     """Guards against a move that ignores an entry host on an old view."""
     registry = fleet.registry("x")
-    fleet.entries["entry1"].tables.faults.set_down()
+    fleet.entry_hosts["entry1"].tables.faults.set_down()
     registry.start_move("a-0", "b")
     with pytest.raises(HostBlockedError, match="entry1") as caught:
         _wait_and_complete(fleet, registry, "a-0")
     blocker = caught.value.blockers[0]
     assert (blocker.entry, blocker.reason) == ("entry1", BlockReason.VIEW_TOO_OLD)
-    fleet.entries["entry1"].tables.faults.clear()
+    fleet.entry_hosts["entry1"].tables.faults.clear()
     fleet.tick()
     registry.complete_move("a-0")
     fleet.check()
@@ -174,13 +174,13 @@
 def test_host_in_use_is_not_marked_as_drained(fleet: MemoryFleet) -> None:
     """Guards against a reboot while a request to the host is in flight."""
     registry = fleet.registry("x")
-    fleet.entries["entry1"].grant("a-0")
+    fleet.entry_hosts["entry1"].grant("a-0")
     registry.start_drain("a-0", "wave")
     for _ in range(7):
         fleet.tick()
     with pytest.raises(HostBlockedError, match="grant_held"):
         registry.mark_drained("a-0")
-    fleet.entries["entry1"].grants.clear()
+    fleet.entry_hosts["entry1"].grants.clear()
     fleet.tick()
     assert registry.mark_drained("a-0").record["state"] == HostState.DRAINED
 
@@ -208,7 +208,7 @@
 
 def test_older_view_of_a_peer_is_not_adopted(fleet: MemoryFleet) -> None:
     """Guards against a view that reverts to before a move."""
-    reader = fleet.entries["entry0"].reader
+    reader = fleet.entry_hosts["entry0"].reader
     old = reader.view
     fleet.registry("x").start_move("a-0", "b")
     new = reader.refresh()
@@ -219,11 +219,11 @@
 def test_new_entry_host_on_an_old_view_grants_nothing(fleet: MemoryFleet) -> None:
     """Guards against grants on a peer's view that predates a completed move."""
     registry = fleet.registry("x")
-    peer = fleet.entries["entry0"].reader
+    peer = fleet.entry_hosts["entry0"].reader
     new = MemoryEntryHost(fleet.tables, fleet.clock, "entry9", "entry9/1")
     new.reader.adopt(peer.view)
     _move(fleet, registry)
-    fleet.entries["entry9"] = new
+    fleet.entry_hosts["entry9"] = new
     assert not new.may_grant("a-0")
     fleet.check()
     new.step()
@@ -234,9 +234,9 @@
 
 def test_replaced_incarnation_of_an_entry_host_must_stop(fleet: MemoryFleet) -> None:
     """Guards against two incarnations that acknowledge for each other."""
-    fleet.entries["entry0"].grant("a-0")
+    fleet.entry_hosts["entry0"].grant("a-0")
     MemoryEntryHost(fleet.tables, fleet.clock, "entry0", "entry0/2").step()
-    old = fleet.entries["entry0"].registration
+    old = fleet.entry_hosts["entry0"].registration
     with pytest.raises(NotLeaseHolderError):
         old.renew(view_version=10**6, staged_version=0, granted_hosts=())
 
@@ -254,7 +254,7 @@
 def test_malformed_host_row_is_omitted_from_the_view(fleet: MemoryFleet) -> None:
     """Guards against one malformed row that blocks all view updates."""
     fleet.put_host_field("a-0", "state", "unknown")
-    reader = fleet.entries["entry0"].reader
+    reader = fleet.entry_hosts["entry0"].reader
     assert "a-0" not in reader.refresh().hosts
     assert reader.malformed_hosts == ("a-0",)
 
--- a/src/sycamorecroft/scheduling/tests/test_commit_queue.py
+++ b/src/sycamorecroft/scheduling/tests/test_commit_queue.py
@@ -1,6 +1,6 @@
 """Tests of which changes are committed first under overload, named by load pattern."""
 
-from standins.service_driver import ServiceDriver, Site, queue_of, step_of
+from standins.service_driver import ServiceDriver, Site, make_queue, make_step
 from sycamorecroft.scheduling.commit_queue import JOBS_PER_COMMIT_COUNT, CommitQueue
 from sycamorecroft.scheduling.jobs import Job
 from sycamorecroft.scheduling.model import JobSpec
@@ -8,7 +8,7 @@
 
 
 def _job(job_id, accepted_ms):
-    row = JobRow(queue_of(), JobSpec("t", (step_of(1),)), accepted_ms)
+    row = JobRow(make_queue(), JobSpec("t", (make_step(1),)), accepted_ms)
     return Job(job_id, row, 100.0, 100_000)
 
 
@@ -28,12 +28,12 @@
     """Guards against capacity that is allocated but unused while the store is slow."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
-    owner.steps(2)
+    owner.run_steps(2)
     for number in range(JOBS_PER_COMMIT_COUNT + 20):
-        site.submit(f"j{number}", step_of(1, 10))
+        site.submit(f"j{number}", make_step(1, 10))
     owner._read_jobs()
     owner.scheduler.place(site.clock.monotonic_s())
     jobs = owner.scheduler.jobs.values()
     assert sum(bool(job.runs()) for job in jobs) == JOBS_PER_COMMIT_COUNT
-    owner.steps(4)
+    owner.run_steps(4)
     assert all(site.started_count(f"{job.id}.0.0.0") == 1 for job in jobs)
--- a/src/sycamorecroft/scheduling/tests/test_evacuation.py
+++ b/src/sycamorecroft/scheduling/tests/test_evacuation.py
@@ -3,8 +3,8 @@
 from standins.service_driver import (
     ServiceDriver,
     Site,
-    queue_of,
-    step_of,
+    make_queue,
+    make_step,
 )
 from sycamorecroft.scheduling.calls import RunOutcome
 from sycamorecroft.scheduling.pool_snapshot import WorkerMarks
@@ -15,13 +15,13 @@
     site = Site()
     owner = ServiceDriver(site, 1)
     site.submit(
-        "j1", step_of(1, is_long_running=True), queue=queue_of(attempts_count=1)
+        "j1", make_step(1, is_long_running=True), queue=make_queue(attempts_count=1)
     )
     for outcome in (RunOutcome.FAILED, RunOutcome.DONE, RunOutcome.EXPIRED):
-        owner.steps(3)
+        owner.run_steps(3)
         for worker in site.workers.values():
-            worker.end_all(outcome)
-    owner.steps(3)
+            worker.finish_all(outcome)
+    owner.run_steps(3)
     assert site.started_count("j1.0.0.0") == 4
 
 
@@ -29,12 +29,12 @@
     """Guards against tasks that are lost with a worker that has announced its drain."""
     site = Site()
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1, is_long_running=True))
-    owner.steps(3)
+    site.submit("j1", make_step(1, is_long_running=True))
+    owner.run_steps(3)
     draining = next(n for n, w in site.workers.items() if w.running)
-    site.entries[draining] = site.entries[draining]._replace(is_draining=True)
-    site.submit("j2", step_of(4))
-    owner.steps(6)
+    site.registrations[draining] = site.registrations[draining]._replace(is_draining=True)
+    site.submit("j2", make_step(4))
+    owner.run_steps(6)
     assert not site.workers[draining].running
     assert sum(len(w.running) for w in site.workers.values()) == 5
 
@@ -45,11 +45,11 @@
     owner = ServiceDriver(site, 1)
     site.submit(
         "j1",
-        step_of(
+        make_step(
             2, is_long_running=True, tasks_per_worker_limit=1, max_unavailable_count=1
         ),
     )
-    owner.steps(4)
+    owner.run_steps(4)
     busy = frozenset(n for n, w in site.workers.items() if w.running)
     owner.scheduler.reports.apply_marks(WorkerMarks(reserved=busy))
     for _ in range(12):
@@ -67,20 +67,20 @@
     """
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1, is_long_running=True, tasks_per_worker_limit=1))
-    owner.steps(3)
+    site.submit("j1", make_step(1, is_long_running=True, tasks_per_worker_limit=1))
+    owner.run_steps(3)
     busy = next(name for name, w in site.workers.items() if w.running)
     other = next(name for name in site.workers if name != busy)
-    site.submit("j2", step_of(60, 1000))
-    owner.steps(3)
+    site.submit("j2", make_step(60, 1000))
+    owner.run_steps(3)
     owner.scheduler.reports.apply_marks(WorkerMarks(reserved=frozenset({busy})))
     for _ in range(10):
         running = site.workers[other].running
         short_task = next((name for name in running if name.startswith("j2")), None)
         if short_task is not None:
-            site.workers[other].end(short_task, RunOutcome.DONE)
+            site.workers[other].finish(short_task, RunOutcome.DONE)
         # The outcome is applied, and freed capacity is used, before the next tick.
         owner._list_runs()
         owner.scheduler.place(site.clock.monotonic_s())
-        owner.steps(1)
+        owner.run_steps(1)
     assert "j1.0.0.0" in site.workers[other].running
--- a/src/sycamorecroft/scheduling/tests/test_placement.py
+++ b/src/sycamorecroft/scheduling/tests/test_placement.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from standins.service_driver import ServiceDriver, Site, entry_of, queue_of, step_of
+from standins.service_driver import ServiceDriver, Site, make_registration, make_queue, make_step
 from sycamorecroft.scheduling.job_ranking import job_rank, objective_end_s
 from sycamorecroft.scheduling.jobs import Job
 from sycamorecroft.scheduling.model import JobSpec
@@ -17,18 +17,18 @@
     """Guards against more tasks of a step on a worker than the step allows."""
     site = Site(workers_count=3)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(5, tasks_per_worker_limit=1))
-    owner.steps(4)
+    site.submit("j1", make_step(5, tasks_per_worker_limit=1))
+    owner.run_steps(4)
     assert [len(names) for names in _running(site).values()] == [1, 1, 1]
 
 
 def test_tasks_run_only_on_workers_with_the_required_label():
     """Guards against a task on a worker without the label that it requires."""
     site = Site(workers_count=2)
-    site.entries["w1"] = site.entries["w1"]._replace(labels=("b", "r1"))
+    site.registrations["w1"] = site.registrations["w1"]._replace(labels=("b", "r1"))
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(3, required_label="b"))
-    owner.steps(4)
+    site.submit("j1", make_step(3, required_label="b"))
+    owner.run_steps(4)
     assert [len(names) for names in _running(site).values()] == [0, 3]
 
 
@@ -36,8 +36,8 @@
     """Guards against tasks far from their data while nearer workers have capacity."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(4, preferred_rack="r1"))
-    owner.steps(4)
+    site.submit("j1", make_step(4, preferred_rack="r1"))
+    owner.run_steps(4)
     assert [len(names) for names in _running(site).values()] == [0, 4]
 
 
@@ -45,8 +45,8 @@
     """Guards against starts that exceed the capacity of a worker."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(30, 3000))
-    owner.steps(4)
+    site.submit("j1", make_step(30, 3000))
+    owner.run_steps(4)
     assert [len(names) for names in _running(site).values()] == [2, 2]
 
 
@@ -54,8 +54,8 @@
     """Guards against a pool of lightly loaded workers that can't be released."""
     site = Site(workers_count=4)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(8, 1000))
-    owner.steps(4)
+    site.submit("j1", make_step(8, 1000))
+    owner.run_steps(4)
     assert sorted(map(len, _running(site).values())) == [0, 0, 0, 8]
 
 
@@ -63,11 +63,11 @@
     """Guards against workers that stay in a pool for a single short task each."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1, is_long_running=True))
-    owner.steps(4)
+    site.submit("j1", make_step(1, is_long_running=True))
+    owner.run_steps(4)
     shared = next(name for name, running in _running(site).items() if running)
-    site.submit("j2", step_of(3, 1000))
-    owner.steps(4)
+    site.submit("j2", make_step(3, 1000))
+    owner.run_steps(4)
     assert len(_running(site)[shared]) == 4
 
 
@@ -77,17 +77,17 @@
     for number in range(4):
         name = f"w{number}"
         site.workers[name] = type(Site(1).workers["w0"])()
-        site.entries[name] = entry_of(name, rack=f"r{number // 2}")
+        site.registrations[name] = make_registration(name, rack=f"r{number // 2}")
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(2, is_long_running=True, tasks_per_worker_limit=1))
-    owner.steps(4)
-    racks = {site.entries[n].rack for n, names in _running(site).items() if names}
+    site.submit("j1", make_step(2, is_long_running=True, tasks_per_worker_limit=1))
+    owner.run_steps(4)
+    racks = {site.registrations[n].rack for n, names in _running(site).items() if names}
     assert racks == {"r0", "r1"}
 
 
 def _job(job_id, *, accepted_ms, estimate_ms=1000, priority=0, **step_fields):
-    step = step_of(1, **step_fields)._replace(estimate_ms=estimate_ms)
-    row = JobRow(queue_of(priority=priority), JobSpec("t", (step,)), accepted_ms)
+    step = make_step(1, **step_fields)._replace(estimate_ms=estimate_ms)
+    row = JobRow(make_queue(priority=priority), JobSpec("t", (step,)), accepted_ms)
     return Job(job_id, row, 100.0, 100_000)
 
 
--- a/src/sycamorecroft/scheduling/tests/test_scheduler.py
+++ b/src/sycamorecroft/scheduling/tests/test_scheduler.py
@@ -5,9 +5,9 @@
     SERVICE,
     ServiceDriver,
     Site,
-    entry_of,
-    queue_of,
-    step_of,
+    make_registration,
+    make_queue,
+    make_step,
 )
 from sycamorecroft.scheduling.calls import RunOutcome
 from sycamorecroft.scheduling.model import AdviceTimes
@@ -18,22 +18,22 @@
     """Guards against a start before the tasks of an earlier step are done."""
     site = Site()
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(2), step_of(1, after=(0,)))
-    owner.steps(3)
+    site.submit("j1", make_step(2), make_step(1, after=(0,)))
+    owner.run_steps(3)
     running = {name for w in site.workers.values() for name in w.running}
     assert running == {"j1.0.0.0", "j1.0.0.1"}
-    next(w for w in site.workers.values() if "j1.0.0.0" in w.running).end(
+    next(w for w in site.workers.values() if "j1.0.0.0" in w.running).finish(
         "j1.0.0.0", RunOutcome.DONE
     )
-    owner.steps(3)
+    owner.run_steps(3)
     assert site.started_count("j1.0.1.0") == 0
     for worker in site.workers.values():
-        worker.end_all()
-    owner.steps(3)
+        worker.finish_all()
+    owner.run_steps(3)
     assert site.started_count("j1.0.1.0") == 1
     for worker in site.workers.values():
-        worker.end_all()
-    owner.steps(3)
+        worker.finish_all()
+    owner.run_steps(3)
     assert site.state("j1") is JobState.COMPLETE
 
 
@@ -41,14 +41,14 @@
     """Guards against an outcome that the worker drops before it is stored."""
     site = Site(workers_count=1)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1))
-    owner.steps(3)
-    site.workers["w0"].end_all()
+    site.submit("j1", make_step(1))
+    owner.run_steps(3)
+    site.workers["w0"].finish_all()
     owner._list_runs()
     assert site.workers["w0"].acknowledged == 0
     owner.commit()
     assert site.state("j1") is JobState.COMPLETE
-    owner.steps(2)
+    owner.run_steps(2)
     assert site.workers["w0"].acknowledged == 1
 
 
@@ -56,7 +56,7 @@
     """Guards against a start of which a later owner finds no record."""
     site = Site(workers_count=1)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1))
+    site.submit("j1", make_step(1))
     owner._read_jobs()
     owner._list_runs()
     owner.scheduler.place(site.clock.monotonic_s())
@@ -72,15 +72,15 @@
     """Guards against a task that runs twice after the owner was paused."""
     site = Site()
     former = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1))
+    site.submit("j1", make_step(1))
     former._read_jobs()
     former._list_runs()
     former.scheduler.place(site.clock.monotonic_s())
     successor = ServiceDriver(site, 2)
-    successor.steps(2)
+    successor.run_steps(2)
     former.commit()
     former.send_orders()
-    assert former.is_lost
+    assert former.is_service_lost
     assert site.started_count("j1.0.0.0") == 1
 
 
@@ -88,14 +88,14 @@
     """Guards against restarting a task that runs under a former owner's lease."""
     site = Site()
     former = ServiceDriver(site, 1)
-    site.submit("j1", step_of(3))
-    former.steps(3)
+    site.submit("j1", make_step(3))
+    former.run_steps(3)
     successor = ServiceDriver(site, 2)
-    successor.steps(4)
+    successor.run_steps(4)
     assert sum(site.started_count(f"j1.0.0.{i}") for i in range(3)) == 3
     for worker in site.workers.values():
-        worker.end_all()
-    successor.steps(3)
+        worker.finish_all()
+    successor.run_steps(3)
     assert site.state("j1") is JobState.COMPLETE
 
 
@@ -103,14 +103,14 @@
     """Guards against a second run while the first continues behind a partition."""
     site = Site()
     former = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1))
-    former.steps(3)
+    site.submit("j1", make_step(1))
+    former.run_steps(3)
     name = next(n for n, w in site.workers.items() if w.running)
-    site.workers[name].is_cut = True
+    site.workers[name].is_unreachable = True
     successor = ServiceDriver(site, 2, former_lease_s=8.0)
-    successor.steps(35)
+    successor.run_steps(35)
     assert site.started_count("j1.0.0.0") == 1
-    successor.steps(10)
+    successor.run_steps(10)
     assert site.started_count("j1.0.0.0") == 2
 
 
@@ -122,14 +122,14 @@
     """
     site = Site()
     former = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1))
-    former.steps(3)
+    site.submit("j1", make_step(1))
+    former.run_steps(3)
     for worker in site.workers.values():
-        worker.end_all()
+        worker.finish_all()
     successor = ServiceDriver(site, 2)
     now_s = site.clock.monotonic_s()
     successor.scheduler.tick(now_s + 0.01, site.now_ms)
-    successor.steps(3)
+    successor.run_steps(3)
     assert site.started_count("j1.0.0.0") == 1
     assert site.state("j1") is JobState.COMPLETE
 
@@ -138,17 +138,17 @@
     """Guards against two runs of a task when the answer to a start is lost."""
     site = Site()
     owner = ServiceDriver(site, 1)
-    owner.steps(2)
+    owner.run_steps(2)
     for worker in site.workers.values():
-        worker.loses_answers = True
-    site.submit("j1", step_of(1))
+        worker.loses_responses = True
+    site.submit("j1", make_step(1))
     owner.step()
     for worker in site.workers.values():
-        worker.loses_answers = False
+        worker.loses_responses = False
     for _ in range(6):
-        owner.steps(1)
+        owner.run_steps(1)
         assert sum(len(w.running) for w in site.workers.values()) <= 1
-    owner.steps(4)
+    owner.run_steps(4)
     assert sum(len(w.running) for w in site.workers.values()) == 1
 
 
@@ -156,12 +156,12 @@
     """Guards against more starts than the queue's number of attempts."""
     site = Site(workers_count=3)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1), queue=queue_of(attempts_count=2))
+    site.submit("j1", make_step(1), queue=make_queue(attempts_count=2))
     for _ in range(4):
-        owner.steps(3)
+        owner.run_steps(3)
         for worker in site.workers.values():
-            worker.end_all(RunOutcome.FAILED)
-    owner.steps(3)
+            worker.finish_all(RunOutcome.FAILED)
+    owner.run_steps(3)
     assert site.started_count("j1.0.0.0") == 2
     assert site.state("j1") is JobState.FAILED
 
@@ -170,10 +170,10 @@
     """Guards against tasks that continue to run after their job was cancelled."""
     site = Site()
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(4))
-    owner.steps(3)
+    site.submit("j1", make_step(4))
+    owner.run_steps(3)
     site.cancel("j1")
-    owner.steps(3)
+    owner.run_steps(3)
     assert not any(worker.running for worker in site.workers.values())
     assert site.state("j1") is JobState.CANCELLED
 
@@ -182,13 +182,13 @@
     """Guards against a second execution of a job under the same id."""
     site = Site()
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1))
-    owner.steps(3)
+    site.submit("j1", make_step(1))
+    owner.run_steps(3)
     for worker in site.workers.values():
-        worker.end_all()
-    owner.steps(3)
-    site.submit("j1", step_of(1))
-    owner.steps(3)
+        worker.finish_all()
+    owner.run_steps(3)
+    site.submit("j1", make_step(1))
+    owner.run_steps(3)
     assert site.started_count("j1.0.0.0") == 1
 
 
@@ -196,13 +196,13 @@
     """Guards against waiting for the outcome of a run that a crash has ended."""
     site = Site(workers_count=1)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1))
-    owner.steps(3)
+    site.submit("j1", make_step(1))
+    owner.run_steps(3)
     worker = site.workers["w0"]
     worker.running.clear()
     worker.incarnation_ms = 2
     worker.acknowledged = 0
-    owner.steps(3)
+    owner.run_steps(3)
     assert site.started_count("j1.0.0.0") == 2
 
 
@@ -210,12 +210,12 @@
     """Guards against gang members that occupy capacity while they wait for others."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(3, 6000, is_gang=True))
-    owner.steps(3)
+    site.submit("j1", make_step(3, 6000, is_gang=True))
+    owner.run_steps(3)
     assert not any(worker.running for worker in site.workers.values())
     site.workers["w2"] = type(site.workers["w0"])()
-    site.entries["w2"] = entry_of("w2")
-    owner.steps(3)
+    site.registrations["w2"] = make_registration("w2")
+    owner.run_steps(3)
     attempts = [a for w in site.workers.values() for a in w.running.values()]
     assert attempts == [1, 1, 1]
 
@@ -225,11 +225,11 @@
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     for number in range(4):
-        site.submit(f"j{number}", step_of(1), queue=queue_of(attempts_count=9))
-    owner.steps(3)
+        site.submit(f"j{number}", make_step(1), queue=make_queue(attempts_count=9))
+    owner.run_steps(3)
     for _ in range(3):
-        site.workers["w0"].end_all(RunOutcome.FAILED)
-        owner.steps(2)
+        site.workers["w0"].finish_all(RunOutcome.FAILED)
+        owner.run_steps(2)
     assert not site.workers["w0"].running
     assert len(site.workers["w1"].running) == 4
 
@@ -238,11 +238,11 @@
     """Guards against a job that uses up its attempts on one faulty worker."""
     site = Site(workers_count=3)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1), queue=queue_of(attempts_count=2))
-    owner.steps(3)
+    site.submit("j1", make_step(1), queue=make_queue(attempts_count=2))
+    owner.run_steps(3)
     failed = next(n for n, w in site.workers.items() if w.running)
-    site.workers[failed].end_all(RunOutcome.FAILED)
-    owner.steps(3)
+    site.workers[failed].finish_all(RunOutcome.FAILED)
+    owner.run_steps(3)
     assert not site.workers[failed].running
     assert sum(len(w.running) for w in site.workers.values()) == 1
 
@@ -251,15 +251,15 @@
     """Guards against a last attempt on the worker on which the task has just failed."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
-    site.submit("j0", step_of(1, 8000, required_label="r1"))
-    owner.steps(3)
-    site.submit("j1", step_of(1, 8000), queue=queue_of(attempts_count=2))
-    owner.steps(3)
-    site.workers["w0"].end("j1.0.0.0", RunOutcome.FAILED)
-    owner.steps(2)
+    site.submit("j0", make_step(1, 8000, required_label="r1"))
+    owner.run_steps(3)
+    site.submit("j1", make_step(1, 8000), queue=make_queue(attempts_count=2))
+    owner.run_steps(3)
+    site.workers["w0"].finish("j1.0.0.0", RunOutcome.FAILED)
+    owner.run_steps(2)
     assert not site.workers["w0"].running
-    site.workers["w1"].end_all()
-    owner.steps(3)
+    site.workers["w1"].finish_all()
+    owner.run_steps(3)
     assert "j1.0.0.0" in site.workers["w1"].running
 
 
@@ -267,12 +267,12 @@
     """Guards against jobs that are delayed by the slowest worker of a pool."""
     site = Site(workers_count=3)
     owner = ServiceDriver(site, 1)
-    owner.steps(2)
+    owner.run_steps(2)
     for name, ratio in (("w0", 5.0), ("w1", 1.0), ("w2", 1.1)):
         for _ in range(3):
             owner.scheduler.workers[name].record_duration(ratio)
-    site.submit("j1", step_of(6))
-    owner.steps(2)
+    site.submit("j1", make_step(6))
+    owner.run_steps(2)
     assert not site.workers["w0"].running
 
 
@@ -280,13 +280,13 @@
     """Guards against new tasks on a worker that answers but makes no progress."""
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1))
-    owner.steps(2)
+    site.submit("j1", make_step(1))
+    owner.run_steps(2)
     stalled = next(n for n, w in site.workers.items() if w.running)
     site.workers[stalled].progress_percent = 10
-    owner.steps(12)
-    site.submit("j2", step_of(4))
-    owner.steps(2)
+    owner.run_steps(12)
+    site.submit("j2", make_step(4))
+    owner.run_steps(2)
     assert len(site.workers[stalled].running) == 1
 
 
@@ -295,12 +295,12 @@
     site = Site(workers_count=3)
     owner = ServiceDriver(site, 1)
     owner.approved_workers = {"w1"}
-    advised = queue_of()._replace(advice=AdviceTimes(10, 1, 3000))
-    site.submit("j1", step_of(3), queue=advised)
-    owner.steps(4)
+    advised = make_queue()._replace(advice=AdviceTimes(10, 1, 3000))
+    site.submit("j1", make_step(3), queue=advised)
+    owner.run_steps(4)
     assert len(site.workers["w1"].running) == 3
     assert set(owner.tickets) == {"ticket-w1"}
-    assert len(owner.questions) == 1
+    assert len(owner.advice_requests) == 1
 
 
 def test_expired_ticket_is_requested_again_and_a_refused_one_is_not():
@@ -308,39 +308,39 @@
     site = Site(workers_count=2)
     owner = ServiceDriver(site, 1)
     owner.approved_workers = {"w1"}
-    advised = queue_of(attempts_count=9)._replace(advice=AdviceTimes(10, 1, 3000))
-    site.submit("j1", step_of(1), queue=advised)
-    owner.steps(20)
-    site.workers["w1"].end_all(RunOutcome.FAILED)
-    owner.steps(4)
+    advised = make_queue(attempts_count=9)._replace(advice=AdviceTimes(10, 1, 3000))
+    site.submit("j1", make_step(1), queue=advised)
+    owner.run_steps(20)
+    site.workers["w1"].finish_all(RunOutcome.FAILED)
+    owner.run_steps(4)
     assert len(site.workers["w1"].running) == 1
-    assert [q.workers for q in owner.questions[1:]] == [("w1",)]
+    assert [q.workers for q in owner.advice_requests[1:]] == [("w1",)]
 
 
 def test_lost_store_answers_neither_lose_nor_repeat_a_commit():
     """Guards against treating a commit that took effect as failed."""
     site = Site(workers_count=1)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1))
-    site.tables.lost_answers_count = 1
-    owner.steps(4)
+    site.submit("j1", make_step(1))
+    site.tables.lost_responses_count = 1
+    owner.run_steps(4)
     assert site.started_count("j1.0.0.0") == 1
-    site.workers["w0"].end_all()
-    site.tables.lost_answers_count = 1
-    owner.steps(4)
+    site.workers["w0"].finish_all()
+    site.tables.lost_responses_count = 1
+    owner.run_steps(4)
     assert site.state("j1") is JobState.COMPLETE
-    assert not owner.is_lost
+    assert not owner.is_service_lost
 
 
 def test_delayed_commit_does_not_overwrite_a_later_one():
     """Guards against old progress that overwrites newer progress seconds later."""
     site = Site(workers_count=1)
     owner = ServiceDriver(site, 1)
-    site.submit("j1", step_of(1))
+    site.submit("j1", make_step(1))
     site.tables.delayed_count = 1
-    owner.steps(3)
-    site.workers["w0"].end_all()
-    owner.steps(3)
+    owner.run_steps(3)
+    site.workers["w0"].finish_all()
+    owner.run_steps(3)
     assert site.state("j1") is JobState.COMPLETE
     assert site.tables.apply_delayed() == 0
     assert site.state("j1") is JobState.COMPLETE
--- a/src/sycamorecroft/serving/tests/test_application.py
+++ b/src/sycamorecroft/serving/tests/test_application.py
@@ -166,7 +166,7 @@
 
 def test_store_outage_refuses_with_retry_after(caller):
     """Guards against a job that is reported as accepted but can't be stored."""
-    caller.tables.is_dark = True
+    caller.tables.is_unavailable = True
     caller.contact_age_s = 3.2
     assert caller.call("POST", f"/a/{JOB_ID}", _job())[0] == 503
     assert caller.headers["Retry-After"] == "3"
--- a/src/sycamorecroft/serving/tests/test_job_store.py
+++ b/src/sycamorecroft/serving/tests/test_job_store.py
@@ -6,7 +6,7 @@
 import pytest
 
 from standins.memory_partitions import MemoryPartitions
-from standins.service_driver import SERVICE, queue_of, step_of
+from standins.service_driver import SERVICE, make_queue, make_step
 from sycamorecroft.clock import SystemClock
 from sycamorecroft.errors import StoreUnavailableError
 from sycamorecroft.scheduling.model import JobSpec
@@ -18,7 +18,7 @@
 )
 
 JOB_ID = "00112233445566aa"
-ROW = JobRow(queue_of(), JobSpec("text", (step_of(),)), 1)
+ROW = JobRow(make_queue(), JobSpec("text", (make_step(),)), 1)
 
 
 class _RefusingTables(MemoryPartitions):
@@ -104,7 +104,7 @@
 def test_submission_is_refused_at_once_during_store_outage(tables):
     """Guards against callers that wait although their jobs can't be stored."""
     store = JobStore(tables, SystemClock(), lambda: 9.0)
-    tables.is_dark = True
+    tables.is_unavailable = True
     start_s = SystemClock().monotonic_s()
     assert _submit(store, timeout_s=3.0) is SubmitOutcome.NOT_STORED
     assert SystemClock().monotonic_s() - start_s < 0.5
@@ -130,7 +130,7 @@
 def test_lost_answer_is_resolved_by_reading_back(store, tables):
     """Guards against an unknown outcome for a job that is stored."""
     tables.faulty_table = "jobs.rating"
-    tables.lost_answers_count = 1
+    tables.lost_responses_count = 1
     assert _submit(store) is SubmitOutcome.STORED
 
 
--- a/src/sycamorecroft/store/tests/test_guarded.py
+++ b/src/sycamorecroft/store/tests/test_guarded.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from standins.faults import FaultSwitch
+from standins.faults import FaultInjector
 from standins.memory_tables import MemoryTables
 from sycamorecroft.clock import ManualClock
 from sycamorecroft.errors import (
@@ -31,7 +31,7 @@
 class _Setup:
     def __init__(self, share_ratio: float = 1.0) -> None:
         self.clock = ManualClock()
-        self.store = MemoryTables(FaultSwitch(self.clock))
+        self.store = MemoryTables(FaultInjector(self.clock))
         self.guarded = GuardedTableService(
             self.store,
             budget=StoreBudget(share_ratio, self.clock.monotonic_s()),
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and for backend servers."""
+"""Stand-ins for the platform, workers and backend servers in tests and benchmarks."""
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,8 +1,8 @@
-"""Process that plays many backend servers on loopback, one port each.
+"""Stand-in process that runs many backend servers on loopback, one port each.
 
 Run as ``python -m standins.backend --control-port 8200 --first-port 8300 --count 40``.
-Prints one JSON line with the addresses once it listens. Server ``w0`` has the first
-port.
+Prints one JSON line with the addresses once all ports listen. Server ``w0`` listens on
+the first port.
 """
 
 import argparse
@@ -21,14 +21,14 @@
 LOOPBACK = "127.0.0.1"
 LISTEN_BACKLOG_COUNT = 512
 
-# Time until a listener follows a change of the ``refuse`` fault.
-REFUSAL_POLL_S = 0.05
+# Interval between checks whether a ``refuse`` fault was set or cleared.
+REFUSE_FAULT_POLL_S = 0.05
 
 CONTROL_NAME = "control"
 
 
 class _Listener(NamedTuple):
-    """A listening socket and what its connections are for."""
+    """Listening port, with the handler of its connections and the state they act on."""
 
     name: str
     port: int
@@ -37,10 +37,10 @@
 
 
 class BackendFleet:
-    """Backend servers and their control port. ``run`` serves until ``close``.
+    """Backend servers and their control port.
 
-    :param first_port: port of the first server; 0 takes free ports.
-    :param control_port: 0 takes a free port.
+    :param first_port: port of the first server; 0 selects free ports.
+    :param control_port: port of the control interface; 0 selects a free port.
     """
 
     def __init__(
@@ -57,14 +57,17 @@
         self._listeners: dict[str, _Listener] = {}
         self._is_closed = threading.Event()
         control = ControlState(self.servers)
-        self._add(_Listener(CONTROL_NAME, control_port, ControlHandler, control))
+        self._open_listener(
+            _Listener(CONTROL_NAME, control_port, ControlHandler, control)
+        )
         for index, server in enumerate(self.servers.values()):
             port = first_port + index if first_port else 0
-            self._add(_Listener(server.name, port, BackendHandler, server))
+            self._open_listener(_Listener(server.name, port, BackendHandler, server))
 
     def addresses(self) -> Mapping[str, str]:
         """
-        :returns: address by the server's name, and of the control port.
+        :returns: addresses as ``ip:port`` by the server's name; the control port is
+            named ``control``.
         """
         return {
             name: f"{LOOPBACK}:{listener.port}"
@@ -72,64 +75,66 @@
         }
 
     def run(self) -> None:
-        """Accepts connections until :meth:`close`."""
-        followed_s = float("-inf")
+        """Accepts connections until :meth:`close` is called."""
+        checked_s = float("-inf")
         while not self._is_closed.is_set():
-            if time.monotonic() >= followed_s + REFUSAL_POLL_S:
-                followed_s = time.monotonic()
-                self._follow_refusals()
-            for key, _ in self._selector.select(REFUSAL_POLL_S):
-                self._accept(key.fileobj, key.data)
+            if time.monotonic() >= checked_s + REFUSE_FAULT_POLL_S:
+                checked_s = time.monotonic()
+                self._apply_refuse_faults()
+            for key, _ in self._selector.select(REFUSE_FAULT_POLL_S):
+                self._accept_connection(key.fileobj, key.data)
         for name in list(self._sockets):
             self._stop_listening(name)
 
     def close(self) -> None:
-        """Makes :meth:`run` return; connections in use live on."""
+        """Makes :meth:`run` return; established connections stay open."""
         self._is_closed.set()
 
-    def _add(self, listener: _Listener) -> None:
-        opened = self._listen(listener)
-        port = opened.getsockname()[1]
+    def _open_listener(self, listener: _Listener) -> None:
+        listening_socket = self._start_listening(listener)
+        port = listening_socket.getsockname()[1]
         self._listeners[listener.name] = listener._replace(port=port)
 
-    def _listen(self, listener: _Listener) -> socket.socket:
-        opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        opened.bind((LOOPBACK, listener.port))
-        opened.listen(LISTEN_BACKLOG_COUNT)
-        opened.setblocking(False)
-        self._sockets[listener.name] = opened
-        self._selector.register(opened, selectors.EVENT_READ, listener)
-        return opened
+    def _start_listening(self, listener: _Listener) -> socket.socket:
+        listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening_socket.bind((LOOPBACK, listener.port))
+        listening_socket.listen(LISTEN_BACKLOG_COUNT)
+        listening_socket.setblocking(False)
+        self._sockets[listener.name] = listening_socket
+        self._selector.register(listening_socket, selectors.EVENT_READ, listener)
+        return listening_socket
 
     def _stop_listening(self, name: str) -> None:
-        opened = self._sockets.pop(name)
-        self._selector.unregister(opened)
-        opened.close()
+        listening_socket = self._sockets.pop(name)
+        self._selector.unregister(listening_socket)
+        listening_socket.close()
 
-    def _follow_refusals(self) -> None:
+    def _apply_refuse_faults(self) -> None:
         for name, server in self.servers.items():
-            refuses = server.has_fault(BackendFaultKind.REFUSE)
-            if refuses and name in self._sockets:
+            is_refusing = server.has_fault(BackendFaultKind.REFUSE)
+            if is_refusing and name in self._sockets:
                 self._stop_listening(name)
-            elif not refuses and name not in self._sockets:
-                self._listen(self._listeners[name])
+            elif not is_refusing and name not in self._sockets:
+                self._start_listening(self._listeners[name])
 
-    def _accept(self, opened: socket.socket, listener: _Listener) -> None:
+    def _accept_connection(
+        self, listening_socket: socket.socket, listener: _Listener
+    ) -> None:
         try:
-            connection, address = opened.accept()
+            connection, address = listening_socket.accept()
         except OSError:
             return
         connection.setblocking(True)
         threading.Thread(
-            target=_serve,
+            target=_serve_connection,
             args=(connection, address, listener),
             name=f"connection-{listener.name}",
             daemon=True,
         ).start()
 
 
-def _serve(
+def _serve_connection(
     connection: socket.socket, address: tuple[str, int], listener: _Listener
 ) -> None:
     with contextlib.closing(connection), contextlib.suppress(OSError):
@@ -142,7 +147,7 @@
 
 
 def _parse_arguments() -> argparse.Namespace:
-    parser = argparse.ArgumentParser(description="stand-in of backend servers")
+    parser = argparse.ArgumentParser(description="stand-in for backend servers")
     parser.add_argument("--control-port", type=int, required=True)
     parser.add_argument("--first-port", type=int, required=True)
     parser.add_argument("--count", type=int, default=1)
@@ -156,7 +161,7 @@
         type=_parse_service_time,
         action="append",
         default=[],
-        help="mean time of one service in milliseconds, NAME=TIME",
+        help="mean service time of one service, as NAME=MILLISECONDS",
     )
     parser.add_argument("--spread-ratio", type=float, default=0.0)
     parser.add_argument("--seed", type=int, default=0)
--- a/standins/backend_http.py
+++ b/standins/backend_http.py
@@ -1,6 +1,6 @@
-"""HTTP handlers of the backend stand-in, above plain sockets.
+"""HTTP handlers of the backend stand-in on plain sockets.
 
-The faults reset connections and cut answers short, which a WSGI server can't do.
+Some faults reset connections or truncate responses, which a WSGI server can't do.
 """
 
 import json
@@ -25,26 +25,26 @@
 REQUEST_ID_HEADER = "Sycamorecroft-Request-Id"
 IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 
-# Closes with a reset instead of an orderly end.
+# Makes ``close`` send a reset (RST) instead of an orderly shutdown (FIN).
 _LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 def reset_on_close(connection: socket.socket) -> None:
-    """Makes the next ``close`` of a socket send a reset."""
+    """Makes closing the socket send a reset to the peer."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
 
 
 class _Handler(BaseHTTPRequestHandler):
-    """Connection that is kept open between requests."""
+    """Handler of a persistent connection with JSON responses."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
     timeout = IDLE_TIMEOUT_S
-    # Headers and body of an answer leave in one packet where they fit.
+    # Headers and body of a response are sent in one packet if they fit.
     wbufsize = 64 * 1024
 
     def log_message(self, format: str, *args: object) -> None:
-        """Drops the log line that the base class writes for each request."""
+        """Suppresses the log line that the base class writes for each request."""
 
     def send(
         self, status: int, body: bytes, headers: Mapping[str, str] | None = None
@@ -62,13 +62,17 @@
 
     def read_body(self) -> bytes | None:
         """
-        :returns: the body, or ``None`` after a refusal because of its length.
+        :returns: the body; ``None`` if its length is missing or above the limit, which
+            is answered with an error, or if the client closed the connection early.
         """
         length = self.headers.get("Content-Length", "")
         if not length.isdecimal() or int(length) > BODY_LIMIT_BYTES:
             self.close_connection = True
             status = 413 if length.isdecimal() else 411
-            self.send_json(status, {"error": f"at most {BODY_LIMIT_BYTES} bytes"})
+            self.send_json(
+                status,
+                {"error": f"Content-Length of at most {BODY_LIMIT_BYTES} is required"},
+            )
             return None
         body = self.rfile.read(int(length))
         if len(body) < int(length):
@@ -78,16 +82,19 @@
 
 
 class BackendHandler(_Handler):
-    """Connection of a client to one backend server; ``server`` is its state."""
+    """Connection of a client to one backend server.
+
+    :ivar server: state of the backend server.
+    """
 
     server: BackendServer
 
     def handle(self) -> None:
-        self._is_over_limit = not self.server.open_connection()
+        self._is_over_connection_limit = not self.server.open_connection()
         try:
             super().handle()
         except OSError:
-            # The client went away; what ran is in the ledger.
+            # The client closed the connection; the ledger holds the requests that ran.
             reset_on_close(self.connection)
         finally:
             self.server.close_connection()
@@ -96,22 +103,24 @@
         if self.path == "/ledger":
             self.send_json(200, self.server.ledger())
             return
-        self.send_json(404, {"error": "GET /ledger or POST /{service}"})
+        self.send_json(
+            404, {"error": "path not found; use GET /ledger or POST /{service}"}
+        )
 
     def do_POST(self) -> None:  # noqa: N802
         self.server.wait_while_frozen()
-        refuses = self.server.has_fault(BackendFaultKind.REFUSE)
-        if refuses or self.server.take_fault(BackendFaultKind.RESET_BEFORE_READ):
-            self._reset()
+        is_refusing = self.server.has_fault(BackendFaultKind.REFUSE)
+        if is_refusing or self.server.consume_fault(BackendFaultKind.RESET_BEFORE_READ):
+            self._reset_connection()
             return
         body = self.read_body()
         if body is None:
             return
-        if self._is_over_limit:
+        if self._is_over_connection_limit:
             self.close_connection = True
-            self._refuse("all connections are in use")
-        elif not self.server.take_slot():
-            self._refuse("all slots are busy")
+            self._reject("all connections are in use")
+        elif not self.server.acquire_slot():
+            self._reject("all slots are busy")
         else:
             self._run_in_slot(body)
 
@@ -123,45 +132,50 @@
 
     def _run_in_slot(self, body: bytes) -> None:
         try:
-            entry = self._run(body)
+            entry = self._run_request(body)
         finally:
-            self.server.return_slot()
-        if self.server.take_fault(BackendFaultKind.RESET_AFTER_READ):
-            self._reset()
+            self.server.release_slot()
+        if self.server.consume_fault(BackendFaultKind.RESET_AFTER_READ):
+            self._reset_connection()
             return
-        self._answer(entry, len(body))
+        self._respond(entry, len(body))
 
-    def _run(self, body: bytes) -> LedgerEntry:
+    def _run_request(self, body: bytes) -> LedgerEntry:
         request_id = self.headers.get(REQUEST_ID_HEADER, "")
         key = self.headers.get(IDEMPOTENCY_KEY_HEADER, "")
         service = self.path.strip("/")
-        entry = self.server.begin(service, request_id, key, body)
-        slow = self.server.take_fault(BackendFaultKind.SLOW)
+        entry = self.server.record_start(service, request_id, key, body)
+        slow = self.server.consume_fault(BackendFaultKind.SLOW)
         delay_s = slow.delay_s if slow else 0.0
         time.sleep(self.server.service_time_s(service, request_id) + delay_s)
         self.server.wait_while_frozen()
-        self.server.complete(entry)
+        self.server.record_completion(entry)
         return entry
 
-    def _answer(self, entry: LedgerEntry, length_bytes: int) -> None:
+    def _respond(self, entry: LedgerEntry, body_length_bytes: int) -> None:
         request_id = entry["request_id"]
         digest = entry["body_digest"]
-        if self.server.take_fault(BackendFaultKind.WRONG_ID):
+        if self.server.consume_fault(BackendFaultKind.WRONG_ID):
             request_id = f"{request_id}-other"
-        if self.server.take_fault(BackendFaultKind.WRONG_BODY):
+        if self.server.consume_fault(BackendFaultKind.WRONG_BODY):
             digest = digest[::-1]
-        value = {"digest": digest, "length": length_bytes, "server": self.server.name}
-        body = json.dumps(value).encode()
+        content = {
+            "digest": digest,
+            "length": body_length_bytes,
+            "server": self.server.name,
+        }
+        body = json.dumps(content).encode()
         headers = {REQUEST_ID_HEADER: request_id, "Content-Type": "application/json"}
-        if self.server.take_fault(BackendFaultKind.TRUNCATED):
+        if self.server.consume_fault(BackendFaultKind.TRUNCATED):
             self._send_truncated(body, headers)
             return
-        # Recorded first: a client that has the answer may read the ledger at once.
-        self.server.record_answered(entry, True)
+        # Recorded before sending, since a client may read the ledger as soon as it has
+        # the response.
+        self.server.record_response(entry, True)
         try:
             self.send(200, body, headers)
         except OSError:
-            self.server.record_answered(entry, False)
+            self.server.record_response(entry, False)
             raise
 
     def _send_truncated(self, body: bytes, headers: Mapping[str, str]) -> None:
@@ -174,19 +188,22 @@
         self.wfile.write(body[: len(body) // 2])
         self.wfile.flush()
 
-    def _refuse(self, reason: str) -> None:
+    def _reject(self, reason: str) -> None:
         status = self.server.settings.refusal_status
         request_id = self.headers.get(REQUEST_ID_HEADER, "")
         body = json.dumps({"error": reason}).encode()
         self.send(status, body, {REQUEST_ID_HEADER: request_id})
 
-    def _reset(self) -> None:
+    def _reset_connection(self) -> None:
         reset_on_close(self.connection)
         self.close_connection = True
 
 
 class BackendFaultBody(TypedDict, total=False):
-    """Body of ``POST /faults``; ``server`` is ``all`` or the name of a server."""
+    """Body of ``POST /faults``.
+
+    ``server`` is the name of a server, or ``all``, which is the default.
+    """
 
     server: str
     kind: BackendFaultKind
@@ -196,16 +213,18 @@
 
 
 class ControlState(NamedTuple):
-    """What the control port works on."""
+    """Backend servers by name that the control port manages."""
 
     servers: Mapping[str, BackendServer]
 
 
 class ControlHandler(_Handler):
-    """Connection to the control port; ``server`` has all backend servers.
+    """Connection to the control port.
 
-    ``GET /ledger``, ``DELETE /ledger``, ``GET /refusals``, ``POST /faults`` and
+    Serves ``GET /ledger``, ``DELETE /ledger``, ``GET /refusals``, ``POST /faults`` and
     ``DELETE /faults``.
+
+    :ivar server: all backend servers.
     """
 
     server: ControlState
@@ -217,10 +236,12 @@
             self.send_json(200, entries)
         elif self.path == "/refusals":
             self.send_json(
-                200, {server.name: server.refused_count() for server in servers}
+                200, {server.name: server.rejected_count() for server in servers}
             )
         else:
-            self.send_json(404, {"error": "GET /ledger or GET /refusals"})
+            self.send_json(
+                404, {"error": "path not found; use GET /ledger or GET /refusals"}
+            )
 
     def do_DELETE(self) -> None:  # noqa: N802
         for server in self.server.servers.values():
@@ -246,6 +267,6 @@
         name = fields.pop("server", "all")
         fault = BackendFault(**fields)
         servers = self.server.servers
-        chosen = servers.values() if name == "all" else [servers[name]]
-        for server in chosen:
+        affected_servers = servers.values() if name == "all" else [servers[name]]
+        for server in affected_servers:
             server.set_fault(fault)
--- a/standins/backend_state.py
+++ b/standins/backend_state.py
@@ -1,4 +1,4 @@
-"""State of one backend server of the stand-in: slots, faults and ledger."""
+"""State of one backend server of the stand-in: slots, faults and request ledger."""
 
 import hashlib
 import random
@@ -9,20 +9,20 @@
 from types import MappingProxyType
 from typing import NamedTuple, TypedDict
 
-# A pause between checks whether a frozen server has resumed or a fault is over.
+# Interval between checks whether a ``frozen`` fault has ended.
 FROZEN_POLL_S = 0.02
 
 
 class BackendFaultKind(StrEnum):
     """Faults of a backend server.
 
-    ``REFUSE``: connections are refused, and open ones are reset at the next request.
-    ``RESET_BEFORE_READ``: the connection is reset before the body is read, and nothing
-    runs. ``RESET_AFTER_READ``: the request runs and the connection is reset instead of
-    an answer. ``TRUNCATED``: half of the answer's body is sent. ``SLOW``: the request
-    takes ``delay_s`` longer. ``FROZEN``: nothing proceeds until the fault is over.
-    ``WRONG_BODY``: an answer of the right length with another digest. ``WRONG_ID``: the
-    answer names another request.
+    ``REFUSE``: new connections are refused, and open ones are reset at the next
+    request. ``RESET_BEFORE_READ``: the connection is reset before the body is read, and
+    the request does not run. ``RESET_AFTER_READ``: the request runs, and the connection
+    is reset instead of sending a response. ``TRUNCATED``: half of the response body is
+    sent. ``SLOW``: the request takes ``delay_s`` longer. ``FROZEN``: no request makes
+    progress until the fault ends. ``WRONG_BODY``: the response has the right length and
+    a wrong digest. ``WRONG_ID``: the response has the id of another request.
     """
 
     REFUSE = "refuse"
@@ -35,14 +35,16 @@
     WRONG_ID = "wrong_id"
 
 
-# These last for a time and aren't used up by requests.
-_LASTING_KINDS = (BackendFaultKind.REFUSE, BackendFaultKind.FROZEN)
+# Kinds that end after a duration or when cleared; requests don't consume them.
+_CONTINUOUS_KINDS = (BackendFaultKind.REFUSE, BackendFaultKind.FROZEN)
 
 
 class BackendFault(NamedTuple):
-    """A fault; without ``count`` and ``duration_s`` it lasts until it is cleared.
+    """Fault of a backend server; lasts until cleared unless it is limited.
 
-    ``count`` is a number of requests; ``refuse`` and ``frozen`` ignore it.
+    :param count: number of requests affected; ignored for ``REFUSE`` and ``FROZEN``.
+    :param duration_s: time after which the fault ends.
+    :param delay_s: additional service time of ``SLOW``.
     """
 
     kind: BackendFaultKind
@@ -52,10 +54,10 @@
 
 
 class LedgerEntry(TypedDict):
-    """A request that a server ran. Times are monotonic seconds of the process.
+    """Request that a server ran. Times are monotonic seconds of the process.
 
-    ``completed``: the work was done. ``answered``: the whole answer was handed to
-    the socket.
+    ``completed``: the service time has elapsed. ``answered``: the whole response was
+    written to the socket.
     """
 
     server: str
@@ -70,10 +72,12 @@
 
 
 class BackendSettings(NamedTuple):
-    """Settings that all servers of a process share.
+    """Settings shared by all servers of a process.
 
-    ``service_times_s`` has the mean service time by service; ``spread_ratio`` is the
-    standard deviation of its logarithm.
+    :param service_time_s: mean service time of services not in ``service_times_s``.
+    :param service_times_s: mean service time by service.
+    :param spread_ratio: standard deviation of the logarithm of the service time.
+    :param seed: seed of the service times.
     """
 
     slots_count: int = 8
@@ -89,27 +93,27 @@
     def __init__(self, fault: BackendFault) -> None:
         self.fault = fault
         self.remaining_count = fault.count
-        if fault.kind in _LASTING_KINDS:
+        if fault.kind in _CONTINUOUS_KINDS:
             self.remaining_count = None
         duration_s = fault.duration_s
         self.end_s = None if duration_s is None else time.monotonic() + duration_s
 
-    def is_over(self) -> bool:
-        is_late = self.end_s is not None and time.monotonic() >= self.end_s
-        return is_late or self.remaining_count == 0
+    def has_ended(self) -> bool:
+        is_expired = self.end_s is not None and time.monotonic() >= self.end_s
+        return is_expired or self.remaining_count == 0
 
 
 class BackendServer:
-    """One backend server. Thread-safe."""
+    """State of one backend server. Thread-safe."""
 
     def __init__(self, name: str, settings: BackendSettings) -> None:
         self.name = name
         self.settings = settings
         self._lock = threading.Lock()
         self._faults: list[_ActiveFault] = []
-        self._busy_count = 0
+        self._busy_slots_count = 0
         self._connections_count = 0
-        self._refused_count = 0
+        self._rejected_count = 0
         self._ledger: list[LedgerEntry] = []
 
     def set_fault(self, fault: BackendFault) -> None:
@@ -118,23 +122,24 @@
             self._faults.append(_ActiveFault(fault))
 
     def clear_faults(self) -> None:
-        """Removes all faults; a frozen server resumes."""
+        """Ends all faults; a frozen server resumes."""
         with self._lock:
             self._faults.clear()
 
     def has_fault(self, kind: BackendFaultKind) -> bool:
         """
-        :returns: whether a fault of this kind is set; it isn't used up.
+        :returns: whether a fault of this kind is active; its count stays unchanged.
         """
         with self._lock:
-            return any(item.fault.kind is kind for item in self._current_faults())
+            return any(item.fault.kind is kind for item in self._active_faults())
 
-    def take_fault(self, kind: BackendFaultKind) -> BackendFault | None:
+    def consume_fault(self, kind: BackendFaultKind) -> BackendFault | None:
         """
-        :returns: a fault for one request, or ``None``; a count goes down by one.
+        :returns: an active fault of this kind to apply to one request, ``None`` if none
+            is set; its remaining count is decremented.
         """
         with self._lock:
-            for item in self._current_faults():
+            for item in self._active_faults():
                 if item.fault.kind is kind:
                     if item.remaining_count is not None:
                         item.remaining_count -= 1
@@ -142,12 +147,13 @@
         return None
 
     def wait_while_frozen(self) -> None:
-        """Returns once the server isn't frozen."""
+        """Blocks while a ``FROZEN`` fault is active."""
         while self.has_fault(BackendFaultKind.FROZEN):
             time.sleep(FROZEN_POLL_S)
 
     def open_connection(self) -> bool:
-        """
+        """Counts a new connection.
+
         :returns: whether the connection is within the limit.
         """
         with self._lock:
@@ -155,39 +161,44 @@
             return self._connections_count <= self.settings.connections_count
 
     def close_connection(self) -> None:
-        """Ends a connection, within the limit or not."""
+        """Stops counting a connection, whether or not it was within the limit."""
         with self._lock:
             self._connections_count -= 1
 
-    def take_slot(self) -> bool:
-        """
-        :returns: whether a slot was free; it must then be returned.
+    def acquire_slot(self) -> bool:
+        """Reserves a slot if one is free.
+
+        :returns: whether a slot was reserved; the caller must then release it.
         """
         with self._lock:
-            if self._busy_count >= self.settings.slots_count:
-                self._refused_count += 1
+            if self._busy_slots_count >= self.settings.slots_count:
+                self._rejected_count += 1
                 return False
-            self._busy_count += 1
+            self._busy_slots_count += 1
             return True
 
-    def return_slot(self) -> None:
-        """Frees a slot."""
+    def release_slot(self) -> None:
+        """Releases a slot reserved by :meth:`acquire_slot`."""
         with self._lock:
-            self._busy_count -= 1
+            self._busy_slots_count -= 1
 
     def service_time_s(self, service: str, request_id: str) -> float:
         """
-        :returns: time that depends only on the seed, the service and the request id.
+        :returns: log-normally distributed time in seconds, which depends only on the
+            seed, the service and the request id.
         """
         settings = self.settings
         mean_s = settings.service_times_s.get(service, settings.service_time_s)
-        source = random.Random(f"{settings.seed}/{service}/{request_id}")
-        return mean_s * source.lognormvariate(0.0, settings.spread_ratio)
+        generator = random.Random(f"{settings.seed}/{service}/{request_id}")
+        return mean_s * generator.lognormvariate(0.0, settings.spread_ratio)
 
-    def begin(
+    def record_start(
         self, service: str, request_id: str, idempotency_key: str, body: bytes
     ) -> LedgerEntry:
-        """Records that a request starts to run."""
+        """Records that a request has started.
+
+        :returns: the new ledger entry, to be passed to the methods below.
+        """
         entry = LedgerEntry(
             server=self.name,
             service=service,
@@ -203,36 +214,36 @@
             self._ledger.append(entry)
         return entry
 
-    def complete(self, entry: LedgerEntry) -> None:
-        """Records that the work of a request was done."""
+    def record_completion(self, entry: LedgerEntry) -> None:
+        """Records that a request has run to completion."""
         with self._lock:
             entry["end_s"] = time.monotonic()
             entry["completed"] = True
 
-    def record_answered(self, entry: LedgerEntry, answered: bool) -> None:
-        """Records whether the whole answer was handed to the socket."""
+    def record_response(self, entry: LedgerEntry, is_answered: bool) -> None:
+        """Records whether the whole response was written to the socket."""
         with self._lock:
-            entry["answered"] = answered
+            entry["answered"] = is_answered
 
     def ledger(self) -> list[LedgerEntry]:
         """
-        :returns: copies of all entries, in the order of their start.
+        :returns: copies of all entries, ordered by start time.
         """
         with self._lock:
             return [entry.copy() for entry in self._ledger]
 
     def clear_ledger(self) -> None:
-        """Forgets all entries."""
+        """Removes all entries."""
         with self._lock:
             self._ledger.clear()
 
-    def refused_count(self) -> int:
+    def rejected_count(self) -> int:
         """
-        :returns: requests refused because all slots were busy.
+        :returns: number of requests rejected because all slots were busy.
         """
         with self._lock:
-            return self._refused_count
+            return self._rejected_count
 
-    def _current_faults(self) -> list[_ActiveFault]:
-        self._faults = [item for item in self._faults if not item.is_over()]
+    def _active_faults(self) -> list[_ActiveFault]:
+        self._faults = [item for item in self._faults if not item.has_ended()]
         return self._faults
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the platform's stand-ins, limited by a number of calls or a duration."""
+"""Fault injection for the platform's stand-ins."""
 
 import threading
 import time
@@ -18,12 +18,12 @@
 
 
 class FaultKind(StrEnum):
-    """What a fault does to a call.
+    """Effect of a fault on a call.
 
-    ``DOWN``: the call fails and has no effect. ``DELAY``: the call takes effect after
-    a delay. ``LOST_RESPONSE``: the call takes effect and its response is lost.
-    ``LOST_REQUEST``: the call has no effect, which its caller can't tell from a lost
-    response.
+    ``DOWN``: the call fails without effect. ``DELAY``: the call takes effect after a
+    delay. ``LOST_RESPONSE``: the call takes effect and its response is lost.
+    ``LOST_REQUEST``: the call has no effect, which its caller can't distinguish from a
+    lost response.
     """
 
     DOWN = "down"
@@ -33,10 +33,12 @@
 
 
 class Fault(NamedTuple):
-    """A fault; without ``count`` and ``duration_s`` it lasts until it is cleared.
+    """Fault of a service; lasts until cleared unless it is limited.
 
-    :param count: number of matching calls that are affected.
-    :param operation: kind of call that is affected, ``None`` for all.
+    :param count: number of matching calls affected.
+    :param duration_s: time after which the fault ends.
+    :param delay_s: delay of each affected call.
+    :param operation: kind of call affected, ``None`` for all kinds.
     """
 
     kind: FaultKind
@@ -52,11 +54,11 @@
         self.remaining_count = fault.count
         self.end_s = None if fault.duration_s is None else now_s + fault.duration_s
 
-    def is_over(self, now_s: float) -> bool:
-        is_late = self.end_s is not None and now_s >= self.end_s
-        return is_late or self.remaining_count == 0
+    def has_ended(self, now_s: float) -> bool:
+        is_expired = self.end_s is not None and now_s >= self.end_s
+        return is_expired or self.remaining_count == 0
 
-    def take(self, operation: Operation) -> bool:
+    def consume(self, operation: Operation) -> bool:
         if self.fault.operation not in (None, operation):
             return False
         if self.remaining_count is not None:
@@ -64,13 +66,13 @@
         return True
 
 
-class FaultSwitch:
-    """Applies the faults that are set to calls. Thread-safe.
+class FaultInjector:
+    """Applies faults to calls. Thread-safe.
 
-    :param sleep: waits for a delay; a test with a ``ManualClock`` passes
+    :param sleep: called with the delay in seconds; tests with a ``ManualClock`` pass
         ``clock.advance``.
-    :param timeout_s: the caller's timeout: a call delayed for this long or longer
-        takes effect and its response is lost. ``None`` for no timeout.
+    :param timeout_s: the caller's timeout; a call delayed by at least this time takes
+        effect and its response is lost. ``None`` for no timeout.
     """
 
     def __init__(
@@ -84,12 +86,12 @@
         self._sleep = sleep
         self._timeout_s = timeout_s
         self._lock = threading.Lock()
-        self._active: list[_ActiveFault] = []
+        self._active_faults: list[_ActiveFault] = []
 
     def set(self, fault: Fault) -> None:
-        """Adds a fault to those already set."""
+        """Adds a fault; faults set before stay active."""
         with self._lock:
-            self._active.append(_ActiveFault(fault, self._clock.monotonic_s()))
+            self._active_faults.append(_ActiveFault(fault, self._clock.monotonic_s()))
 
     def set_down(
         self,
@@ -98,7 +100,7 @@
         duration_s: float | None = None,
         operation: Operation | None = None,
     ) -> None:
-        """Makes calls fail without effect (``StoreUnavailableError``)."""
+        """Makes calls fail without effect, with ``StoreUnavailableError``."""
         self.set(Fault(FaultKind.DOWN, count, duration_s, operation=operation))
 
     def set_delay(
@@ -119,7 +121,7 @@
         duration_s: float | None = None,
         operation: Operation | None = Operation.WRITE,
     ) -> None:
-        """Loses responses of calls that took effect (``StoreOutcomeUnknownError``)."""
+        """Makes calls take effect and fail with ``StoreOutcomeUnknownError``."""
         fault = Fault(FaultKind.LOST_RESPONSE, count, duration_s, operation=operation)
         self.set(fault)
 
@@ -130,54 +132,62 @@
         duration_s: float | None = None,
         operation: Operation | None = Operation.WRITE,
     ) -> None:
-        """Loses calls before they take effect (``StoreOutcomeUnknownError``)."""
+        """Makes calls fail without effect, with ``StoreOutcomeUnknownError``."""
         fault = Fault(FaultKind.LOST_REQUEST, count, duration_s, operation=operation)
         self.set(fault)
 
     def clear(self) -> None:
-        """Removes all faults."""
+        """Ends all faults."""
         with self._lock:
-            self._active.clear()
+            self._active_faults.clear()
 
     def call(self, operation: Operation, action: Callable[[], Result]) -> Result:
-        """Runs ``action`` under the faults that are set.
+        """Runs ``action`` subject to the active faults.
 
-        :raises StoreUnavailableError: when the call had no effect, or was a read.
+        :returns: result of ``action``.
+        :raises StoreUnavailableError: when the call had no effect or was a read.
         :raises StoreOutcomeUnknownError: when the response of a write was lost.
         """
-        faults = self._take(operation)
+        faults = self._consume_faults(operation)
         delay_s = sum(fault.delay_s for fault in faults)
-        is_timeout = self._timeout_s is not None and delay_s >= self._timeout_s
+        exceeds_timeout = self._timeout_s is not None and delay_s >= self._timeout_s
         if delay_s > 0:
-            self._sleep(self._timeout_s if is_timeout else delay_s)
+            self._sleep(self._timeout_s if exceeds_timeout else delay_s)
         kinds = {fault.kind for fault in faults}
         if FaultKind.DOWN in kinds:
-            raise StoreUnavailableError("the stand-in is set to be down")
+            raise StoreUnavailableError(
+                "the stand-in is unavailable because of an injected fault"
+            )
         if FaultKind.LOST_REQUEST in kinds:
-            raise _lost(operation)
-        if FaultKind.LOST_RESPONSE not in kinds and not is_timeout:
+            raise _lost_response_error(operation)
+        if FaultKind.LOST_RESPONSE not in kinds and not exceeds_timeout:
             return action()
-        return self._run_and_lose(operation, action)
+        return self._run_and_lose_response(operation, action)
 
-    def _take(self, operation: Operation) -> list[Fault]:
+    def _consume_faults(self, operation: Operation) -> list[Fault]:
         now_s = self._clock.monotonic_s()
         with self._lock:
-            self._active = [item for item in self._active if not item.is_over(now_s)]
-            return [item.fault for item in self._active if item.take(operation)]
-
-    def _run_and_lose(
+            self._active_faults = [
+                item for item in self._active_faults if not item.has_ended(now_s)
+            ]
+            return [
+                item.fault for item in self._active_faults if item.consume(operation)
+            ]
+
+    def _run_and_lose_response(
         self, operation: Operation, action: Callable[[], Result]
     ) -> Result:
         error: Exception | None = None
         try:
             action()
-        except Exception as raised:  # The caller never learns of this error either.
+        except Exception as raised:
+            # The error is lost with the response, so the caller doesn't get it.
             error = raised
-        raise _lost(operation) from error
+        raise _lost_response_error(operation) from error
 
 
-def _lost(operation: Operation) -> PlatformError:
-    message = f"no answer to a {operation}"
+def _lost_response_error(operation: Operation) -> PlatformError:
+    message = f"no response because of an injected fault to a {operation}"
     if operation is Operation.READ:
         return StoreUnavailableError(message)
     return StoreOutcomeUnknownError(message)
--- a/standins/hooked.py
+++ b/standins/hooked.py
@@ -1,21 +1,27 @@
-"""Proxy that tells a hook of each call, for tests that stop a process at a call."""
+"""Proxy that calls a hook around each call, to pause or end a process there."""
 
 from collections.abc import Callable
 from enum import StrEnum
 
 
-class Moment(StrEnum):
-    """Moment relative to a call."""
+class HookPoint(StrEnum):
+    """Point relative to a call at which the hook is called."""
 
     BEFORE = "before"
     AFTER = "after"
 
 
-Hook = Callable[[str, Moment], None]
+Hook = Callable[[str, HookPoint], None]
 
 
-class Hooked:
-    """Passes all calls on to ``target``; an exception of the hook ends the call."""
+class HookedProxy:
+    """Forwards all calls to ``target`` and calls a hook before and after each.
+
+    An exception of the hook propagates to the caller: raised before the call, it keeps
+    the call from taking effect; raised after it, it replaces the result.
+
+    :param hook: called with the method's name and the point relative to the call.
+    """
 
     def __init__(self, target: object, hook: Hook) -> None:
         self._target = target
@@ -25,9 +31,9 @@
         method = getattr(self._target, name)
 
         def call(*arguments: object, **options: object) -> object:
-            self._hook(name, Moment.BEFORE)
+            self._hook(name, HookPoint.BEFORE)
             result = method(*arguments, **options)
-            self._hook(name, Moment.AFTER)
+            self._hook(name, HookPoint.AFTER)
             return result
 
         return call
--- a/standins/hooked_tables.py
+++ b/standins/hooked_tables.py
@@ -1,4 +1,4 @@
-"""Table service that calls a test at an exact write."""
+"""Table service that calls hooks around writes, to inject faults at a given write."""
 
 from collections.abc import Callable, Sequence
 
@@ -15,20 +15,20 @@
 
 
 class HookedTables(TableService):
-    """Numbers writes from 1 and calls hooks around each.
+    """Table service that numbers writes from 1 and calls hooks around each.
 
-    :param before: called with the number before the write takes effect.
-    :param after: called with the number after the write took effect; what it raises
-        reaches the caller, as a lost response or a crash does.
-    :param purpose: writes for other purposes aren't numbered, ``None`` for all.
+    :param before: called with the write's number before it takes effect.
+    :param after: called with the write's number after it took effect; an exception
+        propagates to the caller, which simulates a lost response or a crash.
+    :param purpose: purpose of the writes that are numbered, ``None`` for all writes.
     """
 
     def __init__(
         self,
         tables: TableService,
         *,
-        before: WriteHook = lambda number: None,
-        after: WriteHook = lambda number: None,
+        before: WriteHook = lambda write_number: None,
+        after: WriteHook = lambda write_number: None,
         purpose: StorePurpose | None = None,
     ) -> None:
         self._tables = tables
@@ -58,8 +58,8 @@
         if self._purpose not in (None, purpose):
             return self._tables.transact(checks, puts, purpose=purpose)
         self._writes_count += 1
-        number = self._writes_count
-        self._before(number)
+        write_number = self._writes_count
+        self._before(write_number)
         version = self._tables.transact(checks, puts, purpose=purpose)
-        self._after(number)
+        self._after(write_number)
         return version
--- a/standins/job_pool.py
+++ b/standins/job_pool.py
@@ -1,4 +1,4 @@
-"""A pool of workers with job controllers in one process, on a manual clock."""
+"""Pool of workers with job controllers in one process, driven by a manual clock."""
 
 import time
 from collections import Counter
@@ -43,7 +43,8 @@
 
 def fleet(quota_count: int) -> FleetConfiguration:
     """
-    :returns: one pool ``pool`` of one service ``proofs`` and teams ``red``, ``blue``.
+    :returns: configuration of pool ``pool``, service ``proofs``, and teams ``red`` and
+        ``blue`` with a quota of ``quota_count`` slots each.
     """
     teams = {
         name: TeamConfiguration(name, 1.0, quota_count) for name in ("red", "blue")
@@ -62,9 +63,10 @@
 
 def request(key: str, **changes: object) -> JobRequest:
     """
-    :returns: a submission of 4 processors, 4 GiB and 2 s unless changed.
+    :returns: a submission of a job with 4 processors, 4 GiB and a duration of 2 s;
+        ``changes`` overrides single fields.
     """
-    plain = JobRequest(
+    default_request = JobRequest(
         account="works",
         service="proofs",
         idempotency_key=key,
@@ -73,11 +75,14 @@
         command="duration_s=2",
         size=TaskSize(4.0, 4 * GIB, 0),
     )
-    return plain._replace(**changes)
+    return default_request._replace(**changes)
 
 
 class FixedWorkers(WorkerSource):
-    """Workers that the test sets."""
+    """Worker source with workers set by the test.
+
+    :ivar by_name: workers by name; tests may change it.
+    """
 
     def __init__(self, workers: dict[str, Worker]) -> None:
         self.by_name = workers
@@ -87,7 +92,7 @@
 
 
 class RunningController:
-    """A controller and its lease, as a daemon runs them."""
+    """Controller with its lease, stepped together as in a daemon."""
 
     def __init__(self, lease: ControllerLease, controller: JobController) -> None:
         self.lease = lease
@@ -100,7 +105,7 @@
 
 
 class JobPool:
-    """Workers of 8 processors and 32 GiB, named w0, w1 and so on."""
+    """Pool of workers ``w0``, ``w1`` and so on, with 8 processors and 32 GiB each."""
 
     def __init__(
         self,
@@ -116,7 +121,7 @@
         names = [f"w{number}" for number in range(workers_count)]
         size = TaskSize(8.0, 32 * GIB, 0)
         self.workers = FixedWorkers({name: Worker(name, size, True) for name in names})
-        self.platform.hosts.declare(map(_host, names))
+        self.platform.hosts.declare(map(_worker_host, names))
         self.store = JobStore(
             self.platform.tables,
             SystemClock(),
@@ -160,7 +165,10 @@
         return self.store.submit(request(key, **changes), deadline_s=deadline_s)
 
     def run(self, duration_s: float) -> None:
-        """Steps all controllers and checks I9 against the tasks of the platform."""
+        """Steps all controllers for ``duration_s``, checking the tasks after each step.
+
+        :raises InvariantError: when a job violates the single-attempt invariant (I9).
+        """
         end_s = self.clock.monotonic_s() + duration_s
         while self.clock.monotonic_s() < end_s:
             for running in list(self.controllers):
@@ -169,19 +177,20 @@
             self.clock.advance(STEP_S)
 
     def check_tasks(self) -> None:
+        """Checks the single-attempt invariant (I9) against the platform's tasks.
+
+        :raises InvariantError: when a job has two live attempts or has succeeded twice.
         """
-        :raises InvariantError: if a job has two live attempts or succeeded twice.
-        """
-        live: dict[str, list[int]] = {}
-        for status in self.platform.tasks._list(None):
+        attempts_by_job: dict[str, list[int]] = {}
+        for status in self.platform.tasks._list_statuses(None):
             job_id, _, attempt = status.task_id.rpartition(":")
             if status.state in (
                 TaskState.RUNNING,
                 TaskState.THROTTLED,
                 TaskState.SUCCEEDED,
             ):
-                live.setdefault(job_id, []).append(int(attempt))
-        for job_id, attempts in live.items():
+                attempts_by_job.setdefault(job_id, []).append(int(attempt))
+        for job_id, attempts in attempts_by_job.items():
             check_job_single_attempt(job_id, attempts)
 
     def jobs(self) -> tuple[JobRecord, ...]:
@@ -191,7 +200,7 @@
         return Counter(str(record["state"]) for record in self.jobs())
 
 
-def _host(name: str) -> PlatformHost:
+def _worker_host(name: str) -> PlatformHost:
     return PlatformHost(
         name=name,
         role=HostRole.WORKER,
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,7 +1,8 @@
-"""Bounded load on loopback addresses, by a plan with phases.
+"""Open-loop load generator for loopback addresses, following a plan with phases.
 
 Run as ``python -m standins.load plan.json``; prints a JSON summary. Requests start at
-the planned times whether or not earlier ones were answered, up to a concurrency cap.
+the planned times whether or not earlier ones have completed, up to a limit of
+concurrent requests.
 """
 
 import argparse
@@ -24,12 +25,12 @@
 OUTCOME_HEADER = "Sycamorecroft-Outcome"
 REASON_HEADER = "Sycamorecroft-Reason"
 
-# A caller waits this much longer than the timeout it names, so that a late answer is
-# seen as late instead of lost.
-ANSWER_GRACE_S = 1.0
+# Additional time to wait after the timeout of a request, so that a late response is
+# counted as late instead of lost.
+RESPONSE_GRACE_S = 1.0
 
 
-class _Answer(NamedTuple):
+class _Result(NamedTuple):
     verdict: Verdict
     status: int | None
     reason: str
@@ -37,7 +38,7 @@
 
 
 class LoadRun:
-    """Runs one plan once."""
+    """Single run of a load plan."""
 
     def __init__(self, plan: PlanBody) -> None:
         self._plan = plan
@@ -47,56 +48,57 @@
             maxsize=plan["concurrency_count"],
             retries=False,
         )
-        self._places = threading.Semaphore(plan["concurrency_count"])
-        self._body_source = random.Random(f"{plan['seed']}/bodies").randbytes(1 << 16)
+        self._concurrency_slots = threading.Semaphore(plan["concurrency_count"])
+        self._body_content = random.Random(f"{plan['seed']}/bodies").randbytes(1 << 16)
 
     def run(self) -> list[Sample]:
         """
         :returns: one sample for each planned request, in planned order.
         """
         start_s = time.monotonic()
-        outcomes: list[Sample | Future[Sample]] = []
+        pending_samples: list[Sample | Future[Sample]] = []
         with ThreadPoolExecutor(self._plan["concurrency_count"]) as executor:
             for arrival in self._arrivals:
                 wait_s = start_s + arrival.time_s - time.monotonic()
                 if wait_s > 0:
                     time.sleep(wait_s)
-                outcomes.append(self._start(executor, arrival, start_s))
+                pending_samples.append(self._submit(executor, arrival, start_s))
         self._pool.clear()
         return [
-            item.result() if isinstance(item, Future) else item for item in outcomes
+            item.result() if isinstance(item, Future) else item
+            for item in pending_samples
         ]
 
-    def _start(
+    def _submit(
         self, executor: ThreadPoolExecutor, arrival: Arrival, start_s: float
     ) -> Sample | Future[Sample]:
         if time.monotonic() - start_s >= self._plan["deadline_s"]:
-            return _sample(arrival, _unsent(Verdict.NOT_STARTED), 0.0)
-        if not self._places.acquire(blocking=False):
-            return _sample(arrival, _unsent(Verdict.CAPPED), 0.0)
-        return executor.submit(self._send, arrival, start_s + arrival.time_s)
+            return _make_sample(arrival, _unsent_result(Verdict.NOT_STARTED), 0.0)
+        if not self._concurrency_slots.acquire(blocking=False):
+            return _make_sample(arrival, _unsent_result(Verdict.CAPPED), 0.0)
+        return executor.submit(self._run_arrival, arrival, start_s + arrival.time_s)
 
-    def _send(self, arrival: Arrival, planned_s: float) -> Sample:
+    def _run_arrival(self, arrival: Arrival, scheduled_s: float) -> Sample:
         try:
-            answer = self._request(arrival, planned_s)
+            result = self._send_request(arrival, scheduled_s)
         finally:
-            self._places.release()
-        return _sample(arrival, answer, time.monotonic() - planned_s)
+            self._concurrency_slots.release()
+        return _make_sample(arrival, result, time.monotonic() - scheduled_s)
 
-    def _request(self, arrival: Arrival, planned_s: float) -> _Answer:
+    def _send_request(self, arrival: Arrival, scheduled_s: float) -> _Result:
         flow = arrival.flow
-        body = self._body(arrival)
-        headers = self._headers(arrival)
+        body = self._make_body(arrival)
+        headers = self._make_headers(arrival)
         timeout_s = flow["timeout_ms"] / 1000
         path = self._plan["path"].format(service=flow["service"])
         try:
             response = self._post(arrival, path, body, headers, timeout_s)
         except (NewConnectionError, ConnectTimeoutError):
-            return _Answer(Verdict.NOT_RUN, None, "connection_refused", "")
+            return _Result(Verdict.NOT_RUN, None, "connection_refused", "")
         except HTTPError as error:
-            return _Answer(Verdict.UNKNOWN, None, type(error).__name__, "")
-        is_late = time.monotonic() - planned_s > timeout_s
-        return _judge(response, headers[REQUEST_ID_HEADER], body, is_late)
+            return _Result(Verdict.UNKNOWN, None, type(error).__name__, "")
+        is_late = time.monotonic() - scheduled_s > timeout_s
+        return _classify(response, headers[REQUEST_ID_HEADER], body, is_late)
 
     def _post(
         self,
@@ -106,8 +108,8 @@
         headers: dict[str, str],
         timeout_s: float,
     ) -> urllib3.BaseHTTPResponse:
-        # As the platform's load balancer: a request whose connection is refused goes to
-        # the next address.
+        # Like the platform's load balancer, retries at the next address when the
+        # connection is refused.
         addresses = self._plan["addresses"]
         for attempt in range(len(addresses)):
             address = addresses[(arrival.number + attempt) % len(addresses)]
@@ -117,15 +119,15 @@
                     f"http://{address}{path}",
                     body=body,
                     headers=headers,
-                    timeout=urllib3.Timeout(total=timeout_s + ANSWER_GRACE_S),
+                    timeout=urllib3.Timeout(total=timeout_s + RESPONSE_GRACE_S),
                     redirect=False,
                 )
             except NewConnectionError:
                 if attempt == len(addresses) - 1:
                     raise
-        raise AssertionError("a plan has at least one address")
+        raise AssertionError("plan has no addresses; read_plan requires at least one")
 
-    def _headers(self, arrival: Arrival) -> dict[str, str]:
+    def _make_headers(self, arrival: Arrival) -> dict[str, str]:
         flow = arrival.flow
         name = f"load-{self._plan['seed']}-{arrival.number}"
         return {
@@ -138,19 +140,19 @@
             "Idempotency-Key": name,
         }
 
-    def _body(self, arrival: Arrival) -> bytes:
-        head = f"{arrival.number} ".encode()
-        size_bytes = max(len(head), arrival.flow["body_bytes"])
-        source = self._body_source
-        repeats_count = size_bytes // len(source) + 1
-        return (head + source * repeats_count)[:size_bytes]
+    def _make_body(self, arrival: Arrival) -> bytes:
+        prefix = f"{arrival.number} ".encode()
+        size_bytes = max(len(prefix), arrival.flow["body_bytes"])
+        content = self._body_content
+        copies_count = size_bytes // len(content) + 1
+        return (prefix + content * copies_count)[:size_bytes]
 
 
-def _judge(
+def _classify(
     response: urllib3.BaseHTTPResponse, request_id: str, body: bytes, is_late: bool
-) -> _Answer:
+) -> _Result:
     status = response.status
-    echoed_id = response.headers.get(REQUEST_ID_HEADER, "")
+    response_request_id = response.headers.get(REQUEST_ID_HEADER, "")
     reason = response.headers.get(REASON_HEADER, "")
     outcome = response.headers.get(OUTCOME_HEADER, "run" if status == 200 else "")
     verdict = Verdict.REJECTED
@@ -158,44 +160,44 @@
         verdict = Verdict.NOT_RUN
     elif outcome == "unknown":
         verdict = Verdict.UNKNOWN
-    elif status == 200 and not _is_own(response.data, body):
+    elif status == 200 and not _matches_request(response.data, body):
         verdict = Verdict.MISMATCHED
     elif status == 200:
         verdict = Verdict.LATE if is_late else Verdict.GOOD
-    return _Answer(verdict, status, reason, echoed_id or request_id)
+    return _Result(verdict, status, reason, response_request_id or request_id)
 
 
-def _is_own(answer: bytes, body: bytes) -> bool:
-    # The backend stand-in answers with the digest of the body it got.
+def _matches_request(response_body: bytes, body: bytes) -> bool:
+    # The backend stand-in responds with the digest of the body it received.
     try:
-        digest = json.loads(answer)["digest"]
+        digest = json.loads(response_body)["digest"]
     except (ValueError, KeyError, TypeError):
         return False
     return digest == hashlib.sha256(body).hexdigest()
 
 
-def _unsent(verdict: Verdict) -> _Answer:
-    return _Answer(verdict, None, "", "")
+def _unsent_result(verdict: Verdict) -> _Result:
+    return _Result(verdict, None, "", "")
 
 
-def _sample(arrival: Arrival, answer: _Answer, latency_s: float) -> Sample:
+def _make_sample(arrival: Arrival, result: _Result, latency_s: float) -> Sample:
     flow = arrival.flow
     return Sample(
         arrival.phase,
         flow["service"],
         flow["urgency"],
         flow["team"],
-        answer.request_id,
-        answer.verdict,
-        answer.status,
-        answer.reason,
+        result.request_id,
+        result.verdict,
+        result.status,
+        result.reason,
         latency_s,
     )
 
 
 def run_plan(plan: PlanBody) -> RunSummary:
     """
-    :returns: summary of a run of the plan.
+    :returns: summary of one run of the plan.
     """
     start_s = time.monotonic()
     samples = LoadRun(plan).run()
@@ -204,8 +206,10 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="bounded load on loopback")
-    parser.add_argument("plan", type=Path, help="JSON file with the plan")
+    parser = argparse.ArgumentParser(
+        description="open-loop load generator for loopback addresses"
+    )
+    parser.add_argument("plan", type=Path, help="JSON file with the load plan")
     plan = read_plan(parser.parse_args().plan.read_bytes())
     print(json.dumps(run_plan(plan), indent=2))
 
--- a/standins/load_plan.py
+++ b/standins/load_plan.py
@@ -1,4 +1,4 @@
-"""Plan of a load run: arrivals that depend only on the plan and its seed."""
+"""Load plans, and the arrivals that follow deterministically from a plan's seed."""
 
 import random
 from typing import NamedTuple, TypedDict
@@ -11,7 +11,7 @@
 
 
 class FlowBody(TypedDict):
-    """Requests of one service, team and urgency. Arrivals are a Poisson process."""
+    """Stream of requests of one service, team and urgency with Poisson arrivals."""
 
     service: str
     team: str
@@ -23,7 +23,7 @@
 
 
 class PhaseBody(TypedDict):
-    """Flows that run together for a time."""
+    """Flows that run concurrently for ``duration_s``."""
 
     name: str
     duration_s: float
@@ -31,9 +31,11 @@
 
 
 class PlanBody(TypedDict):
-    """A load run. ``path`` contains ``{service}``.
+    """Load plan.
 
-    ``deadline_s`` ends the run: requests not started by then count as ``not_started``.
+    ``path`` is a template that contains ``{service}``. ``deadline_s`` is the time from
+    the start of the run after which no request is started; the remaining requests count
+    as ``not_started``.
     """
 
     addresses: list[str]
@@ -46,7 +48,7 @@
 
 
 class Arrival(NamedTuple):
-    """A request and its time since the start of the run."""
+    """Planned request, with its time since the start of the run."""
 
     time_s: float
     phase: str
@@ -56,7 +58,8 @@
 
 def read_plan(text: bytes) -> PlanBody:
     """
-    :raises ValueError: when the plan is malformed or exceeds a bound.
+    :param text: JSON text.
+    :raises ValueError: when the plan is malformed or exceeds a limit.
     """
     plan = msgspec.json.decode(text, type=PlanBody)
     for address in plan["addresses"]:
@@ -76,34 +79,37 @@
 
 def plan_arrivals(plan: PlanBody) -> list[Arrival]:
     """
-    :returns: all arrivals, in the order of their times.
+    :returns: all arrivals, ordered by time and numbered from 0.
     :raises ValueError: when the plan has too many requests.
     """
     arrivals: list[Arrival] = []
     start_s = 0.0
     for phase in plan["phases"]:
         for index, flow in enumerate(phase["flows"]):
-            source = random.Random(f"{plan['seed']}/{phase['name']}/{index}")
-            times = _poisson_times(source, flow["rate_per_s"], phase["duration_s"])
+            generator = random.Random(f"{plan['seed']}/{phase['name']}/{index}")
+            times = _poisson_times(generator, flow["rate_per_s"], phase["duration_s"])
             arrivals += [
                 Arrival(start_s + time_s, phase["name"], flow, 0) for time_s in times
             ]
         start_s += phase["duration_s"]
     if len(arrivals) > MAX_REQUESTS_COUNT:
-        message = f"plan has {len(arrivals)} requests, at most {MAX_REQUESTS_COUNT}"
+        message = (
+            f"rates or durations are too high: plan has {len(arrivals)} requests, the "
+            f"limit is {MAX_REQUESTS_COUNT}"
+        )
         raise ValueError(message)
     arrivals.sort(key=lambda arrival: arrival.time_s)
     return [arrival._replace(number=number) for number, arrival in enumerate(arrivals)]
 
 
 def _poisson_times(
-    source: random.Random, rate_per_s: float, duration_s: float
+    generator: random.Random, rate_per_s: float, duration_s: float
 ) -> list[float]:
     times: list[float] = []
     if rate_per_s <= 0:
         return times
-    time_s = source.expovariate(rate_per_s)
+    time_s = generator.expovariate(rate_per_s)
     while time_s < duration_s:
         times.append(time_s)
-        time_s += source.expovariate(rate_per_s)
+        time_s += generator.expovariate(rate_per_s)
     return times
--- a/standins/load_summary.py
+++ b/standins/load_summary.py
@@ -1,4 +1,4 @@
-"""Summary of a load run."""
+"""Summary of a load run: outcomes, latencies and goodput by group of requests."""
 
 import math
 from collections import Counter, defaultdict
@@ -8,14 +8,15 @@
 
 
 class Verdict(StrEnum):
-    """Outcome of a request as its caller sees it.
-
-    ``GOOD``: answered with status 200 within the deadline, by its own answer.
-    ``LATE``: as good, after the deadline. ``MISMATCHED``: the answer was of another
-    request or body. ``NOT_RUN`` and ``UNKNOWN``: by the answer's outcome header, or by
-    a connection error before or after sending. ``REJECTED``: another status.
-    ``CAPPED``: not sent because the concurrency cap was reached. ``NOT_STARTED``: not
-    sent because the run's deadline had passed.
+    """Outcome of a request from the caller's perspective.
+
+    ``GOOD``: status 200 within the timeout, with a body that matches the request.
+    ``LATE``: like ``GOOD``, but after the timeout. ``MISMATCHED``: status 200 with a
+    body that belongs to another request. ``NOT_RUN`` and ``UNKNOWN``: as stated by the
+    outcome header of the response, or after a connection error before or after sending.
+    ``REJECTED``: any other status. ``CAPPED``: not sent because the limit of concurrent
+    requests was reached. ``NOT_STARTED``: not sent because the deadline of the run had
+    passed.
     """
 
     GOOD = "good"
@@ -29,7 +30,7 @@
 
 
 class Sample(NamedTuple):
-    """One request. ``latency_s`` counts from the planned arrival."""
+    """Outcome of one request. ``latency_s`` is measured from the planned arrival."""
 
     phase: str
     service: str
@@ -43,7 +44,7 @@
 
 
 class Latencies(TypedDict):
-    """Quantiles of the latency of good and late requests, in milliseconds."""
+    """Latency quantiles of ``GOOD`` and ``LATE`` requests, in milliseconds."""
 
     p50_ms: float
     p90_ms: float
@@ -52,7 +53,7 @@
 
 
 class GroupSummary(TypedDict):
-    """Requests of one group. Goodput counts good requests per second of the phase."""
+    """Summary of a group. Goodput is ``GOOD`` requests per second of the phase."""
 
     sent_count: int
     verdicts: dict[str, int]
@@ -62,7 +63,10 @@
 
 
 class RunSummary(TypedDict):
-    """Groups by phase and service, and by phase, service and urgency."""
+    """Groups by phase and service, and additionally by urgency or team.
+
+    Keys join the parts with ``/``, as in ``phase/service/urgency``.
+    """
 
     duration_s: float
     by_service: dict[str, GroupSummary]
@@ -70,12 +74,13 @@
     by_team: dict[str, GroupSummary]
 
 
-def quantile(ordered: Sequence[float], ratio: float) -> float:
+def quantile(sorted_values: Sequence[float], ratio: float) -> float:
     """
     :param ordered: values in ascending order, at least one.
-    :returns: smallest value that at least ``ratio`` of all don't exceed.
+    :returns: smallest value such that at least ``ratio`` of all values don't exceed
+        it.
     """
-    return ordered[max(0, math.ceil(ratio * len(ordered)) - 1)]
+    return sorted_values[max(0, math.ceil(ratio * len(sorted_values)) - 1)]
 
 
 def summarise(
@@ -84,12 +89,13 @@
     duration_s: float,
 ) -> RunSummary:
     """
-    :param phase_durations_s: planned duration by the phase's name.
-    :param duration_s: duration of the whole run.
+    :param phase_durations_s: planned duration by name of the phase.
+    :param duration_s: measured duration of the whole run.
+    :returns: summary of all samples.
     """
     samples = list(samples)
 
-    def grouped(*fields: str) -> dict[str, GroupSummary]:
+    def summarise_by(*fields: str) -> dict[str, GroupSummary]:
         groups: defaultdict[str, list[Sample]] = defaultdict(list)
         for sample in samples:
             names = (getattr(sample, field) for field in fields)
@@ -101,9 +107,9 @@
 
     return RunSummary(
         duration_s=duration_s,
-        by_service=grouped("phase", "service"),
-        by_urgency=grouped("phase", "service", "urgency"),
-        by_team=grouped("phase", "service", "team"),
+        by_service=summarise_by("phase", "service"),
+        by_urgency=summarise_by("phase", "service", "urgency"),
+        by_team=summarise_by("phase", "service", "team"),
     )
 
 
@@ -120,13 +126,15 @@
 
 
 def _latencies(samples: list[Sample]) -> Latencies | None:
-    answered = (Verdict.GOOD, Verdict.LATE)
-    ordered = sorted(item.latency_s for item in samples if item.verdict in answered)
-    if not ordered:
+    completed_verdicts = (Verdict.GOOD, Verdict.LATE)
+    sorted_values = sorted(
+        item.latency_s for item in samples if item.verdict in completed_verdicts
+    )
+    if not sorted_values:
         return None
     return Latencies(
-        p50_ms=quantile(ordered, 0.5) * 1000,
-        p90_ms=quantile(ordered, 0.9) * 1000,
-        p99_ms=quantile(ordered, 0.99) * 1000,
-        max_ms=ordered[-1] * 1000,
+        p50_ms=quantile(sorted_values, 0.5) * 1000,
+        p90_ms=quantile(sorted_values, 0.9) * 1000,
+        p99_ms=quantile(sorted_values, 0.99) * 1000,
+        max_ms=sorted_values[-1] * 1000,
     )
--- a/standins/memory_fleet.py
+++ b/standins/memory_fleet.py
@@ -1,11 +1,11 @@
-"""A small fleet on the platform in memory: workers, entry hosts and their views."""
+"""Small fleet on the in-memory platform: pools of workers, and entry hosts."""
 
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
 import msgspec
 
-from standins.faults import FaultSwitch
+from standins.faults import FaultInjector
 from standins.memory_platform import MemoryPlatform
 from standins.memory_tables import MemoryTables
 from sycamorecroft.clock import ManualClock
@@ -41,7 +41,10 @@
 
 
 class PoolShape(NamedTuple):
-    """A pool to build; its hosts fill racks of its own, ``rack_size`` to a rack."""
+    """Pool to create. Its hosts share no racks with other pools.
+
+    :param rack_size: number of hosts per rack.
+    """
 
     name: str
     hosts_count: int
@@ -50,7 +53,10 @@
 
 
 class RecordingHostControl(HostControl):
-    """Records each reboot once, as the platform carries it out."""
+    """Forwards calls and records reboots, counting repeated operations once.
+
+    :ivar rebooted_hosts: hosts in the order of their reboots.
+    """
 
     def __init__(self, control: HostControl) -> None:
         self._control = control
@@ -71,14 +77,18 @@
 
 
 class MemoryEntryHost:
-    """Entry host that reads the view, grants on it and acknowledges it."""
+    """Entry host that reads the pool view, issues grants on it and acknowledges it.
+
+    :ivar is_frozen: whether :meth:`step` and :meth:`grant` have no effect.
+    :ivar grants: pool by host of each grant held.
+    """
 
     def __init__(
         self, tables: MemoryTables, clock: ManualClock, name: str, incarnation: str
     ) -> None:
         self.name = name
         self.is_frozen = False
-        self.tables = tables.connect(_fault_switch(clock))
+        self.tables = tables.connect(_fault_injector(clock))
         self.reader = PoolViewReader(self.tables)
         self.grants: dict[str, str] = {}
         self.registration = EntryHostRegistration(
@@ -86,7 +96,7 @@
         )
 
     def step(self) -> None:
-        """Reads the view and acknowledges it, unless frozen or cut off."""
+        """Reads the view and acknowledges it, unless frozen or without the store."""
         if self.is_frozen:
             return
         try:
@@ -101,7 +111,7 @@
 
     def may_grant(self, host: str) -> bool:
         """
-        :returns: whether this entry host would grant on the host by its view.
+        :returns: whether this entry host may issue a grant on ``host`` by its view.
         """
         view = self.reader.view
         record = view.hosts.get(host)
@@ -110,13 +120,14 @@
         return self.registration.may_own_queues(view.version)
 
     def grant(self, host: str) -> None:
-        """Holds a grant on the host, if the view allows one."""
+        """Issues a grant on ``host`` if :meth:`may_grant` allows it."""
         if not self.is_frozen and self.may_grant(host):
             self.grants[host] = self.reader.view.hosts[host]["pool"]
 
     def memberships(self) -> list[tuple[str, str]]:
         """
-        :returns: pairs of host and pool for which requests may be sent now.
+        :returns: pairs of host and pool to which requests may currently be sent, from
+            grants held and from the view.
         """
         hosts = self.reader.view.hosts
         granted = list(self.grants.items())
@@ -126,13 +137,17 @@
 
 
 class MemoryFleet:
-    """Workers in pools, entry hosts, and controllers that share one clock."""
+    """Workers in pools, entry hosts and controllers that share one manual clock.
+
+    :param host_list_lag_s: lag of the platform's host list.
+    :param reboot_s: duration of a host's reboot.
+    """
 
     def __init__(
         self,
         pools: Sequence[PoolShape],
         *,
-        entries_count: int = 3,
+        entry_hosts_count: int = 3,
         host_list_lag_s: float = 0.0,
         reboot_s: float = 30.0,
     ) -> None:
@@ -144,15 +159,15 @@
         self.control = RecordingHostControl(self.platform.control)
         self.pools = tuple(pools)
         self.workers = tuple(host for pool in pools for host in _new_hosts(pool))
-        self.entries = {
+        self.entry_hosts = {
             name: MemoryEntryHost(self.tables, self.clock, name, f"{name}/1")
-            for name in (f"entry{number}" for number in range(entries_count))
+            for name in (f"entry{number}" for number in range(entry_hosts_count))
         }
         self._register()
 
     def registry(self, holder: str, tables: TableService | None = None) -> PoolRegistry:
         """
-        :returns: a registry under lease ``pools``, which it tries to acquire.
+        :returns: a pool registry with lease ``pools``, after one attempt to acquire it.
         """
         lease = self.lease("pools", holder, tables)
         lease.maintain()
@@ -164,7 +179,7 @@
         self, name: str, holder: str, tables: TableService | None = None
     ) -> ControllerLease:
         """
-        :returns: a lease that is not acquired yet.
+        :returns: a lease that has not been acquired.
         """
         return ControllerLease(
             tables or self.tables, self.clock, name=name, holder=holder
@@ -174,7 +189,7 @@
         self, holder: str, tables: TableService | None = None
     ) -> MaintenanceController:
         """
-        :returns: a maintenance controller.
+        :returns: a maintenance controller whose lease has not been acquired.
         """
         return MaintenanceController(
             tables or self.tables,
@@ -188,7 +203,8 @@
         self, holder: str, tables: TableService | None = None
     ) -> PoolController:
         """
-        :returns: a pool controller that is configured with the fleet's pools.
+        :returns: a pool controller configured with the fleet's pools, the last of which
+            is the spare pool.
         """
         controller = PoolController(
             tables or self.tables,
@@ -212,23 +228,27 @@
 
     def connect(self) -> MemoryTables:
         """
-        :returns: a handle to the tables with its own faults.
+        :returns: a handle to the tables with faults of its own.
         """
-        return self.tables.connect(_fault_switch(self.clock))
+        return self.tables.connect(_fault_injector(self.clock))
 
     def tick(self, duration_s: float = 1.0) -> None:
-        """Advances the clock and lets each entry host act once."""
+        """Advances the clock and steps each entry host once."""
         self.clock.advance(duration_s)
-        for entry in self.entries.values():
-            entry.step()
+        for entry_host in self.entry_hosts.values():
+            entry_host.step()
 
     def declare_hosts(self, without: Iterable[str] = ()) -> None:
-        """Sets the platform's list; hosts in ``without`` are gone."""
-        gone = frozenset(without)
+        """Declares the platform's host list, without the hosts in ``without``."""
+        excluded_hosts = frozenset(without)
         names = [worker.host for worker in self.workers]
-        listed = [_platform_host(name, HostRole.WORKER) for name in names]
-        listed += [_platform_host(name, HostRole.ENTRY) for name in self.entries]
-        self.platform.hosts.declare(host for host in listed if host.name not in gone)
+        platform_hosts = [_platform_host(name, HostRole.WORKER) for name in names]
+        platform_hosts += [
+            _platform_host(name, HostRole.ENTRY) for name in self.entry_hosts
+        ]
+        self.platform.hosts.declare(
+            host for host in platform_hosts if host.name not in excluded_hosts
+        )
 
     def host_records(self) -> dict[str, HostRecord]:
         """
@@ -238,12 +258,12 @@
         return {row.key: decode_host(row.value or b"") for row in scan.rows}
 
     def put_host_field(self, host: str, field: str, value: str) -> None:
-        """Changes one field of a host's row past all checks."""
+        """Overwrites one field of a host's row, bypassing all checks."""
         tables = self.connect()
         row = tables.read(HOSTS_TABLE, host, purpose=StorePurpose.OPERATORS)
-        content = msgspec.json.decode(row.value)
-        content[field] = value
-        put = Put(HOSTS_TABLE, host, msgspec.json.encode(content))
+        fields = msgspec.json.decode(row.value)
+        fields[field] = value
+        put = Put(HOSTS_TABLE, host, msgspec.json.encode(fields))
         tables.transact([], [put], purpose=StorePurpose.OPERATORS)
 
     def budgets(self) -> dict[str, BudgetRecord]:
@@ -254,15 +274,15 @@
         return {row.key: decode_budget(row.value or b"") for row in scan.rows}
 
     def check(self) -> None:
-        """Checks I1 and I2, and that budget rows count what host rows say.
+        """Checks invariants I1 and I2, and that budget rows agree with host rows.
 
-        :raises InvariantError: when an invariant does not hold.
-        :raises AssertionError: when a budget row is wrong.
+        :raises InvariantError: when an invariant is violated.
+        :raises AssertionError: when a budget row disagrees with the host rows.
         """
         records = self.host_records().values()
         memberships = [(record["host"], record["pool"]) for record in records]
-        for entry in self.entries.values():
-            memberships += entry.memberships()
+        for entry_host in self.entry_hosts.values():
+            memberships += entry_host.memberships()
         check_single_pool(memberships)
         for pool, budget in self.budgets().items():
             check_availability_budget(availability_of(budget))
@@ -317,5 +337,5 @@
     )
 
 
-def _fault_switch(clock: ManualClock) -> FaultSwitch:
-    return FaultSwitch(clock, sleep=clock.advance)
+def _fault_injector(clock: ManualClock) -> FaultInjector:
+    return FaultInjector(clock, sleep=clock.advance)
--- a/standins/memory_objects.py
+++ b/standins/memory_objects.py
@@ -1,9 +1,9 @@
-"""Object store of the platform in memory."""
+"""Stand-in of the platform's object store in memory."""
 
 import threading
 from collections.abc import Callable
 
-from standins.faults import FaultSwitch, Operation
+from standins.faults import FaultInjector, Operation
 from sycamorecroft.errors import StoreOutcomeUnknownError, StoreUnavailableError
 from sycamorecroft.store.interfaces import ObjectStore
 
@@ -11,23 +11,25 @@
 class MemoryObjects(ObjectStore):
     """Object store in memory. Thread-safe.
 
-    A lost response of a write is reported as ``StoreUnavailableError``: writes of
-    objects are idempotent, so a caller repeats them.
+    A lost response of a write raises ``StoreUnavailableError``, since writes of objects
+    are idempotent and callers repeat them.
+
+    :param faults: faults applied to each call of this handle.
     """
 
-    def __init__(self, faults: FaultSwitch | None = None) -> None:
-        self.faults = faults or FaultSwitch()
+    def __init__(self, faults: FaultInjector | None = None) -> None:
+        self.faults = faults or FaultInjector()
         self._lock = threading.Lock()
         self._bodies: dict[str, bytes] = {}
 
-    def connect(self, faults: FaultSwitch | None = None) -> "MemoryObjects":
+    def connect(self, faults: FaultInjector | None = None) -> "MemoryObjects":
         """
-        :returns: another handle to the same objects with its own faults.
+        :returns: another handle to the same objects, with faults of its own.
         """
-        other = MemoryObjects(faults)
-        other._lock = self._lock
-        other._bodies = self._bodies
-        return other
+        handle = MemoryObjects(faults)
+        handle._lock = self._lock
+        handle._bodies = self._bodies
+        return handle
 
     def put(self, key: str, body: bytes) -> None:
         def action() -> None:
--- a/standins/memory_partitions.py
+++ b/standins/memory_partitions.py
@@ -1,4 +1,4 @@
-"""Partitioned table service in memory, with a feed of changes and scripted faults."""
+"""Partitioned table service in memory, with a change feed and fault injection."""
 
 import threading
 from collections.abc import Sequence
@@ -20,26 +20,28 @@
 
 
 class MemoryPartitions(PartitionedTableService):
-    """Rows in memory. Thread-safe.
-
-    :ivar faulty_table: table whose transactions the scripted faults hit.
-    :ivar is_dark: whether each call fails without effect.
-    :ivar lost_answers_count: next transactions that take effect without an answer.
-    :ivar delayed_count: next transactions that are held back without an answer until
-        :meth:`apply_delayed`.
+    """Partitioned table service in memory. Thread-safe.
+
+    :ivar faulty_table: table whose transactions are subject to the two faults below.
+    :ivar is_unavailable: whether each call fails without effect.
+    :ivar lost_responses_count: number of next transactions that take effect and whose
+        responses are lost.
+    :ivar delayed_count: number of next transactions that fail with an unknown outcome
+        and are applied only by :meth:`apply_delayed`.
+    :ivar transactions_count: number of transactions applied so far.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Condition()
         self._rows: dict[tuple[str, str, str], Row] = {}
         self._changes: list[Row] = []
-        self._delayed: list[tuple[tuple[Check, ...], tuple[Put, ...]]] = []
-        self._forgotten_version = 0
+        self._delayed_transactions: list[tuple[tuple[Check, ...], tuple[Put, ...]]] = []
+        self._discarded_version = 0
         self.version = 0
         self.store_time_ms = 1000
         self.faulty_table = "commits"
-        self.is_dark = False
-        self.lost_answers_count = 0
+        self.is_unavailable = False
+        self.lost_responses_count = 0
         self.delayed_count = 0
         self.transactions_count = 0
 
@@ -48,7 +50,7 @@
 
     def row(self, table: str, key: str, part: str = "") -> Row | None:
         """
-        :returns: a row, even while the store is dark.
+        :returns: a row, regardless of faults; ``None`` if it does not exist.
         """
         return self._rows.get((table, part, key))
 
@@ -72,7 +74,7 @@
         end_key: str = "",
     ) -> Scan:
         with self._lock:
-            self._check_reachable()
+            self._require_available()
             rows = sorted(
                 (
                     row
@@ -87,26 +89,28 @@
 
     def parts(self, table: str) -> tuple[str, ...]:
         with self._lock:
-            self._check_reachable()
+            self._require_available()
             found = {row.part for row in self._rows.values() if row.table == table}
             return tuple(sorted(found))
 
     def changes(self, table: str, *, after_version: int, wait_s: float) -> Scan:
         with self._lock:
-            self._check_reachable()
-            self._check_history(after_version)
+            self._require_available()
+            self._require_history(after_version)
             self._lock.wait_for(
-                lambda: self._changed(table, after_version), timeout=wait_s
+                lambda: self._changes_after(table, after_version), timeout=wait_s
             )
-            self._check_history(after_version)
-            rows = self._changed(table, after_version)
+            self._require_history(after_version)
+            rows = self._changes_after(table, after_version)
             return Scan(rows, self.version, self.store_time_ms)
 
-    def _check_history(self, after_version: int) -> None:
-        if after_version < self._forgotten_version:
-            raise StoreHistoryLostError(f"changes after {after_version} are gone")
+    def _require_history(self, after_version: int) -> None:
+        if after_version < self._discarded_version:
+            raise StoreHistoryLostError(
+                f"changes after version {after_version} are discarded; rescan the table"
+            )
 
-    def _changed(self, table: str, after_version: int) -> tuple[Row, ...]:
+    def _changes_after(self, table: str, after_version: int) -> tuple[Row, ...]:
         return tuple(
             row
             for row in self._changes
@@ -117,27 +121,34 @@
         self, checks: Sequence[Check], puts: Sequence[Put], *, purpose: StorePurpose
     ) -> int:
         with self._lock:
-            self._check_reachable()
-            is_faulty = any(put.table == self.faulty_table for put in puts)
-            if is_faulty and self.delayed_count:
+            self._require_available()
+            is_faulty_table = any(put.table == self.faulty_table for put in puts)
+            if is_faulty_table and self.delayed_count:
                 self.delayed_count -= 1
-                self._delayed.append((tuple(checks), tuple(puts)))
-                raise StoreOutcomeUnknownError("no answer")
+                self._delayed_transactions.append((tuple(checks), tuple(puts)))
+                raise StoreOutcomeUnknownError(
+                    "the transaction was delayed by the stand-in"
+                )
             version = self._apply(checks, puts)
-            if is_faulty and self.lost_answers_count:
-                self.lost_answers_count -= 1
-                raise StoreOutcomeUnknownError("no answer")
+            if is_faulty_table and self.lost_responses_count:
+                self.lost_responses_count -= 1
+                raise StoreOutcomeUnknownError(
+                    "the response of the transaction was lost by the stand-in"
+                )
             return version
 
     def apply_delayed(self) -> int:
-        """Carries out transactions that were held back, if their conditions hold.
+        """Applies the delayed transactions whose checks hold.
 
-        :returns: how many took effect.
+        :returns: number of transactions that took effect.
         """
         with self._lock:
-            delayed, self._delayed = self._delayed, []
+            transactions, self._delayed_transactions = (
+                self._delayed_transactions,
+                [],
+            )
             applied_count = 0
-            for checks, puts in delayed:
+            for checks, puts in transactions:
                 try:
                     self._apply(checks, puts)
                 except StoreConflictError:
@@ -145,25 +156,29 @@
                 applied_count += 1
             return applied_count
 
-    def forget_history(self) -> None:
-        """Drops all changes; followers must read the tables again."""
+    def discard_history(self) -> None:
+        """Discards all changes, so that watchers must read their tables again."""
         with self._lock:
             self._changes.clear()
-            self._forgotten_version = self.version
+            self._discarded_version = self.version
 
-    def _check_reachable(self) -> None:
-        if self.is_dark:
-            raise StoreUnavailableError("the store is dark")
+    def _require_available(self) -> None:
+        if self.is_unavailable:
+            raise StoreUnavailableError(
+                "the store is unavailable because of an injected fault"
+            )
 
     def _apply(self, checks: Sequence[Check], puts: Sequence[Put]) -> int:
         parts = {row.part for row in (*checks, *puts)}
         if len(parts) > 1:
-            raise ValueError(f"a transaction has one part, got {sorted(parts)}")
+            raise ValueError(
+                f"a transaction must be within one part, got {sorted(parts)}"
+            )
         current = [self._rows.get((c.table, c.part, c.key)) for c in checks]
         for check, row in zip(checks, current, strict=True):
             if (row.version if row else None) != check.version:
                 rows = tuple(found for found in current if found is not None)
-                raise StoreConflictError("a condition failed", rows)
+                raise StoreConflictError("a check of the transaction failed", rows)
         self.version += 1
         self.transactions_count += 1
         for put in puts:
--- a/standins/memory_platform.py
+++ b/standins/memory_platform.py
@@ -1,6 +1,6 @@
-"""All services of the platform in memory, connected as on the real platform."""
+"""In-memory stand-ins of all platform services, connected as on the real platform."""
 
-from standins.faults import FaultSwitch
+from standins.faults import FaultInjector
 from standins.memory_hosts import MemoryHostControl, MemoryHostList
 from standins.memory_objects import MemoryObjects
 from standins.memory_tables import MemoryTables
@@ -19,12 +19,15 @@
 
 
 class MemoryPlatform:
-    """The platform's services over one host list.
+    """Services of the platform that share one host list.
 
-    A reboot ends the host's tasks, and a host that is not up takes none. Each service
-    has its own ``faults``.
+    A reboot ends the host's tasks, and a host that is not up accepts none. Each service
+    has a fault injector of its own as ``faults``.
 
-    :param timeout_s: the callers' timeout, ``None`` if the caller enforces it itself.
+    :param host_list_lag_s: lag of the host list.
+    :param usage_lag_s: age of the usage in task statuses.
+    :param reboot_s: duration of a host's reboot.
+    :param timeout_s: the callers' timeout, ``None`` if callers enforce it themselves.
     """
 
     def __init__(
@@ -38,28 +41,28 @@
     ) -> None:
         clock = clock or SystemClock()
 
-        def faults() -> FaultSwitch:
-            return FaultSwitch(clock, timeout_s=timeout_s)
+        def new_injector() -> FaultInjector:
+            return FaultInjector(clock, timeout_s=timeout_s)
 
-        self.tables = MemoryTables(faults())
-        self.objects = MemoryObjects(faults())
-        self.hosts = MemoryHostList(clock, lag_s=host_list_lag_s, faults=faults())
+        self.tables = MemoryTables(new_injector())
+        self.objects = MemoryObjects(new_injector())
+        self.hosts = MemoryHostList(clock, lag_s=host_list_lag_s, faults=new_injector())
         self.tasks = MemoryTasks(
             clock,
             objects=self.objects.connect(),
             usage_lag_s=usage_lag_s,
-            faults=faults(),
-            is_worker=self._takes_tasks,
+            faults=new_injector(),
+            is_worker=self._accepts_tasks,
         )
         self.control = MemoryHostControl(
             clock,
             self.hosts,
             reboot_s=reboot_s,
-            faults=faults(),
+            faults=new_injector(),
             on_reboot=self.tasks.lose_worker,
         )
 
-    def _takes_tasks(self, name: str) -> bool:
+    def _accepts_tasks(self, name: str) -> bool:
         host = self.hosts.current(name)
         if host is None or host.role is not HostRole.WORKER:
             return False
--- a/standins/memory_tables.py
+++ b/standins/memory_tables.py
@@ -1,4 +1,4 @@
-"""Table service of the platform in memory, for tests and for the HTTP stand-in."""
+"""Stand-in of the platform's table service in memory."""
 
 import json
 import threading
@@ -6,7 +6,7 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from standins.faults import FaultSwitch, Operation
+from standins.faults import FaultInjector, Operation
 from sycamorecroft.errors import PlatformError, StoreConflictError
 from sycamorecroft.store.interfaces import (
     Check,
@@ -19,14 +19,14 @@
 
 
 class CallKey(NamedTuple):
-    """Kind of calls that are counted together."""
+    """Purpose and operation by which calls are counted."""
 
     purpose: StorePurpose
     operation: Operation
 
 
 class _TableState:
-    """Rows by table and key. A deleted row stays as a row without a value."""
+    """Rows by table and key. A deleted row is kept as a row without a value."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -74,22 +74,22 @@
     :param faults: faults applied to each call of this handle.
     """
 
-    def __init__(self, faults: FaultSwitch | None = None) -> None:
-        self.faults = faults or FaultSwitch()
+    def __init__(self, faults: FaultInjector | None = None) -> None:
+        self.faults = faults or FaultInjector()
         self._state = _TableState()
 
-    def connect(self, faults: FaultSwitch | None = None) -> "MemoryTables":
+    def connect(self, faults: FaultInjector | None = None) -> "MemoryTables":
         """
-        :returns: another handle to the same rows with its own faults, for tests in
-            which one process loses contact with the store and others don't.
+        :returns: another handle to the same rows with faults of its own, for tests in
+            which only one process loses contact with the store.
         """
-        other = MemoryTables(faults)
-        other._state = self._state
-        return other
+        handle = MemoryTables(faults)
+        handle._state = self._state
+        return handle
 
     def call_counts(self) -> Mapping[CallKey, int]:
         """
-        :returns: calls received over all handles, failed ones too.
+        :returns: number of calls received through all handles, including failed ones.
         """
         with self._state.lock:
             return dict(self._state.calls)
@@ -99,7 +99,7 @@
             with self._state.lock:
                 return self._state.live_row(table, key)
 
-        self._count(purpose, Operation.READ)
+        self._count_call(purpose, Operation.READ)
         return self.faults.call(Operation.READ, action)
 
     def scan(
@@ -114,7 +114,7 @@
             with self._state.lock:
                 return self._state.scan(table, prefix, after_version)
 
-        self._count(purpose, Operation.READ)
+        self._count_call(purpose, Operation.READ)
         return self.faults.call(Operation.READ, action)
 
     def transact(
@@ -125,19 +125,21 @@
                 return self._state.transact(checks, puts)
 
         _require_valid(puts)
-        self._count(purpose, Operation.WRITE)
+        self._count_call(purpose, Operation.WRITE)
         return self.faults.call(Operation.WRITE, action)
 
-    def _count(self, purpose: StorePurpose, operation: Operation) -> None:
+    def _count_call(self, purpose: StorePurpose, operation: Operation) -> None:
         with self._state.lock:
             self._state.calls[CallKey(purpose, operation)] += 1
 
 
 def _require_valid(puts: Sequence[Put]) -> None:
-    names = Counter((put.table, put.key) for put in puts)
-    for (table, key), count in names.items():
+    counts = Counter((put.table, put.key) for put in puts)
+    for (table, key), count in counts.items():
         if count > 1:
-            message = f"row {table}/{key} is written {count} times, at most 1 allowed"
+            message = (
+                f"a transaction may write row {table}/{key} once, got {count} writes"
+            )
             raise PlatformError(message)
     for put in puts:
         if put.value is not None:
--- a/standins/memory_tasks.py
+++ b/standins/memory_tasks.py
@@ -1,10 +1,10 @@
-"""Task service of the platform in memory."""
+"""Stand-in of the platform's task service in memory."""
 
 import threading
 from collections.abc import Callable
 from typing import NamedTuple
 
-from standins.faults import FaultSwitch, Operation
+from standins.faults import FaultInjector, Operation
 from sycamorecroft.clock import Clock
 from sycamorecroft.errors import NotLeaseHolderError, PlatformError
 from sycamorecroft.store.interfaces import (
@@ -21,11 +21,12 @@
 
 
 class TaskPlan(NamedTuple):
-    """What a task does, read from the words ``name=value`` of its command.
+    """Behaviour of a task, given by options ``name=value`` in its command.
 
-    ``duration_s`` is run time at full speed, ``None`` until :meth:`MemoryTasks.finish`.
-    ``outcome`` is ``succeeded`` or ``failed``. ``processors`` and ``memory_bytes`` are
-    the real usage; the declared size is used where they are absent.
+    ``duration_s`` is the run time at full speed; without it the task runs until
+    :meth:`MemoryTasks.finish`. ``outcome`` is ``succeeded`` or ``failed``.
+    ``processors`` and ``memory_bytes`` are the actual usage, by default the declared
+    size.
     """
 
     duration_s: float | None
@@ -35,28 +36,31 @@
 
 def parse_command(request: TaskStart) -> TaskPlan:
     """
-    :raises PlatformError: when a value of a known name can't be read.
+    :returns: behaviour of the task.
+    :raises PlatformError: when the value of a known option is malformed.
     """
-    words = dict(word.split("=", 1) for word in request.command.split() if "=" in word)
+    options = dict(
+        word.split("=", 1) for word in request.command.split() if "=" in word
+    )
     size = request.size
     try:
-        duration = words.get("duration_s")
+        duration = options.get("duration_s")
         return TaskPlan(
             None if duration is None else float(duration),
-            TaskState(words.get("outcome", TaskState.SUCCEEDED)),
+            TaskState(options.get("outcome", TaskState.SUCCEEDED)),
             TaskSize(
-                float(words.get("processors", size.processors_count)),
-                int(words.get("memory_bytes", size.memory_bytes)),
+                float(options.get("processors", size.processors_count)),
+                int(options.get("memory_bytes", size.memory_bytes)),
                 size.accelerators_count,
             ),
         )
     except ValueError as error:
-        message = f"command {request.command!r} of {request.task_id!r}: {error}"
+        message = f"command {request.command!r} of task {request.task_id!r}: {error}"
         raise PlatformError(message) from error
 
 
 class _Task:
-    """A task and its progress, which is brought up to date by :meth:`advance`."""
+    """Task with its progress, which :meth:`advance` computes up to a given time."""
 
     def __init__(self, request: TaskStart, now_s: float, progress_s: float) -> None:
         self.request = request
@@ -78,13 +82,13 @@
         if not self.is_live:
             return
         finish_s = self._finish_time_s()
-        until_s = min(now_s, finish_s, self.lease_end_s)
-        self.progress_s += (until_s - self.advanced_s) * self.ratio
-        self.advanced_s = until_s
+        advance_end_s = min(now_s, finish_s, self.lease_end_s)
+        self.progress_s += (advance_end_s - self.advanced_s) * self.ratio
+        self.advanced_s = advance_end_s
         if finish_s <= min(now_s, self.lease_end_s):
-            self.end(finish_s, self.plan.outcome, "ran to its end")
+            self.end(finish_s, self.plan.outcome, "ran to completion")
         elif self.lease_end_s <= now_s:
-            self.end(self.lease_end_s, TaskState.LEASE_EXPIRED, "lease lapsed")
+            self.end(self.lease_end_s, TaskState.LEASE_EXPIRED, "task lease expired")
 
     def end(self, time_s: float, state: TaskState, detail: str) -> None:
         self.state = state
@@ -99,12 +103,12 @@
         self._usage.append((now_s, usage._replace(processors_count=processors_count)))
 
     def status(self, usage_time_s: float) -> TaskStatus:
-        past = [usage for time_s, usage in self._usage if time_s <= usage_time_s]
+        past_usage = [usage for time_s, usage in self._usage if time_s <= usage_time_s]
         return TaskStatus(
             self.request.task_id,
             self.request.worker,
             self.state,
-            past[-1] if past else NO_USAGE,
+            past_usage[-1] if past_usage else NO_USAGE,
             self.checkpoint_key,
             self.detail,
         )
@@ -117,11 +121,11 @@
 
 
 class MemoryTasks(TaskService):
-    """Runs tasks by the clock it is given. Thread-safe.
+    """Task service whose tasks progress with a clock. Thread-safe.
 
-    :param usage_lag_s: age of the usage in a status.
-    :param objects: where checkpoints are written and read.
-    :param is_worker: whether a name is a worker that takes tasks.
+    :param objects: object store for checkpoints.
+    :param usage_lag_s: age of the usage in task statuses.
+    :param is_worker: returns whether a name is that of a worker that accepts tasks.
     """
 
     def __init__(
@@ -130,10 +134,10 @@
         *,
         objects: ObjectStore,
         usage_lag_s: float = 0.0,
-        faults: FaultSwitch | None = None,
+        faults: FaultInjector | None = None,
         is_worker: Callable[[str], bool] = lambda name: True,
     ) -> None:
-        self.faults = faults or FaultSwitch(clock)
+        self.faults = faults or FaultInjector(clock)
         self.usage_lag_s = usage_lag_s
         self._clock = clock
         self._objects = objects
@@ -144,20 +148,22 @@
         self._failing_workers: set[str] = set()
 
     def start(self, request: TaskStart) -> None:
-        self.faults.call(Operation.WRITE, lambda: self._start(request))
+        self.faults.call(Operation.WRITE, lambda: self._start_task(request))
 
     def list_tasks(self, worker: str) -> tuple[TaskStatus, ...]:
-        return self.faults.call(Operation.READ, lambda: self._list(worker))
+        return self.faults.call(Operation.READ, lambda: self._list_statuses(worker))
 
     def list_usage(self) -> tuple[TaskStatus, ...]:
         """
-        :returns: tasks of all workers.
+        :returns: statuses of the tasks of all workers.
         """
-        return self.faults.call(Operation.READ, lambda: self._list(None))
+        return self.faults.call(Operation.READ, lambda: self._list_statuses(None))
 
     def get(self, task_id: str) -> TaskStatus | None:
         def action() -> TaskStatus | None:
-            found = [item for item in self._list(None) if item.task_id == task_id]
+            found = [
+                item for item in self._list_statuses(None) if item.task_id == task_id
+            ]
             return found[0] if found else None
 
         return self.faults.call(Operation.READ, action)
@@ -168,7 +174,7 @@
                 raise PlatformError(f"task {task_id!r} has ended: {task.state}")
             task.lease_end_s = now_s + lease_s
 
-        self._change(task_id, epoch, action)
+        self._update_task(task_id, epoch, action)
 
     def checkpoint(self, task_id: str, *, epoch: int) -> None:
         def action(task: _Task, now_s: float) -> None:
@@ -177,7 +183,7 @@
                 self._objects.put(key, repr(task.progress_s).encode())
                 task.checkpoint_key = key
 
-        self._change(task_id, epoch, action)
+        self._update_task(task_id, epoch, action)
 
     def throttle(self, task_id: str, *, epoch: int, ratio: float) -> None:
         def action(task: _Task, now_s: float) -> None:
@@ -185,18 +191,18 @@
                 task.throttle(now_s, ratio)
 
         if not 0.0 <= ratio <= 1.0:
-            raise PlatformError(f"ratio must be from 0.0 to 1.0, got {ratio}")
-        self._change(task_id, epoch, action)
+            raise PlatformError(f"throttle ratio must be from 0.0 to 1.0, got {ratio}")
+        self._update_task(task_id, epoch, action)
 
     def stop(self, task_id: str, *, epoch: int) -> None:
         def action(task: _Task, now_s: float) -> None:
             if task.is_live:
                 task.end(now_s, TaskState.STOPPED, "stopped")
 
-        self._change(task_id, epoch, action)
+        self._update_task(task_id, epoch, action)
 
     def finish(self, task_id: str, state: TaskState, detail: str = "") -> None:
-        """Ends a live task as the task itself would."""
+        """Ends a live task, as if it had finished by itself."""
         with self._lock:
             now_s = self._advance()
             task = self._tasks[task_id]
@@ -204,20 +210,20 @@
                 task.end(now_s, state, detail)
 
     def set_failing(self, worker: str, is_failing: bool) -> None:
-        """Makes a worker fail each task that is started on it from now on."""
+        """Sets whether tasks started on ``worker`` from now on fail at once."""
         with self._lock:
-            change = self._failing_workers.add
+            update = self._failing_workers.add
             if not is_failing:
-                change = self._failing_workers.discard
-            change(worker)
+                update = self._failing_workers.discard
+            update(worker)
 
     def lose_worker(self, worker: str) -> None:
-        """Ends all tasks of a worker, as a reboot does."""
+        """Ends all tasks of a worker, as when its host reboots."""
         with self._lock:
             now_s = self._advance()
             for task in self._tasks.values():
                 if task.is_live and task.request.worker == worker:
-                    task.end(now_s, TaskState.STOPPED, "the worker went away")
+                    task.end(now_s, TaskState.STOPPED, "the worker was lost")
 
     def _advance(self) -> float:
         now_s = self._clock.monotonic_s()
@@ -225,7 +231,7 @@
             task.advance(now_s)
         return now_s
 
-    def _list(self, worker: str | None) -> tuple[TaskStatus, ...]:
+    def _list_statuses(self, worker: str | None) -> tuple[TaskStatus, ...]:
         with self._lock:
             usage_time_s = self._advance() - self.usage_lag_s
             return tuple(
@@ -234,7 +240,7 @@
                 if worker in (None, task.request.worker)
             )
 
-    def _start(self, request: TaskStart) -> None:
+    def _start_task(self, request: TaskStart) -> None:
         with self._lock:
             now_s = self._advance()
             self._require_epoch(request.fence, request.epoch)
@@ -245,7 +251,7 @@
             task = _Task(request, now_s, self._load_progress_s(request))
             self._tasks[request.task_id] = task
             if request.worker in self._failing_workers:
-                task.end(now_s, TaskState.FAILED, "the worker fails all tasks")
+                task.end(now_s, TaskState.FAILED, "the worker is set to fail all tasks")
 
     def _load_progress_s(self, request: TaskStart) -> float:
         if request.checkpoint_key is None:
@@ -253,23 +259,26 @@
         body = self._objects.get(request.checkpoint_key)
         return 0.0 if body is None else float(body)
 
-    def _change(
+    def _update_task(
         self, task_id: str, epoch: int, action: Callable[[_Task, float], None]
     ) -> None:
-        def checked() -> None:
+        def checked_action() -> None:
             with self._lock:
                 now_s = self._advance()
                 task = self._tasks.get(task_id)
                 if task is None:
-                    raise PlatformError(f"task {task_id!r} is not known")
+                    raise PlatformError(f"task {task_id!r} does not exist")
                 self._require_epoch(task.request.fence, epoch)
                 action(task, now_s)
 
-        self.faults.call(Operation.WRITE, checked)
+        self.faults.call(Operation.WRITE, checked_action)
 
     def _require_epoch(self, fence: str, epoch: int) -> None:
-        highest = self._epochs.get(fence, epoch)
-        if epoch < highest:
-            message = f"epoch {epoch} of {fence!r} is below the highest seen, {highest}"
+        highest_epoch = self._epochs.get(fence, epoch)
+        if epoch < highest_epoch:
+            message = (
+                f"epoch {epoch} of fence {fence!r} is below the highest seen, "
+                f"{highest_epoch}"
+            )
             raise NotLeaseHolderError(message)
         self._epochs[fence] = epoch
