--- a/standins/memory_worker.py
+++ b/standins/memory_worker.py
@@ -1,4 +1,4 @@
-"""Worker in memory that runs tasks under leases, with scripted faults."""
+"""Stand-in of a worker in memory, with task leases and fault injection."""
 
 import time
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 
 class StartedRun(NamedTuple):
-    """A start that the worker carried out."""
+    """Run that the worker has started, with the epoch of the order."""
 
     task: str
     attempt: int
@@ -25,14 +25,16 @@
 
 
 class MemoryWorker:
-    """State of a worker; :meth:`calls` gives the calls of one owner.
-
-    :ivar is_cut: whether calls don't arrive.
-    :ivar loses_answers: whether orders are carried out without an answer.
-    :ivar started_s: latest start of each task, ``done_s``: when its end as done was
-        acknowledged.
-    :ivar gauges: response times in ms, or processor use, of each task.
-    :ivar paces: share in percent that each task was last limited to.
+    """State of a worker. Service owners access it through :meth:`calls`.
+
+    :ivar running: attempt by name of each running task.
+    :ivar is_unreachable: whether calls fail without effect.
+    :ivar loses_responses: whether orders take effect and their responses are lost.
+    :ivar latest_start_s: monotonic time of the latest start of each task.
+    :ivar completion_acknowledged_s: monotonic time at which the outcome ``DONE`` of
+        each task was acknowledged.
+    :ivar gauges: response time in ms, or processor use, of each task.
+    :ivar throttle_percents: latest throttle of each task in percent.
     """
 
     def __init__(self, incarnation_ms: int = 1) -> None:
@@ -41,51 +43,55 @@
         self.epoch = 0
         self.running: dict[str, int] = {}
         self.started: list[StartedRun] = []
-        self.started_s: dict[str, float] = {}
-        self.done_s: dict[str, float] = {}
+        self.latest_start_s: dict[str, float] = {}
+        self.completion_acknowledged_s: dict[str, float] = {}
         self.gauges: dict[str, int] = {}
-        self.paces: dict[str, int] = {}
+        self.throttle_percents: dict[str, int] = {}
         self.acknowledged = 0
-        self.is_cut = False
-        self.loses_answers = False
+        self.is_unreachable = False
+        self.loses_responses = False
         self.progress_percent = 100
         self.deadline_ms = 0
         self._finished: list[FinishedRun] = []
-        self._number = 0
-        self._stopped: dict[str, int] = {}
+        self._last_finished_number = 0
+        self._stopped_attempts: dict[str, int] = {}
 
     def calls(self, epoch: int) -> "MemoryWorkerCalls":
         """
-        :returns: calls of an owner with this epoch.
+        :returns: calls of a service owner with this epoch.
         """
         return MemoryWorkerCalls(self, epoch)
 
-    def end(self, task: str, how: RunOutcome, checkpoint: str = "") -> None:
-        """Ends a run."""
+    def finish(self, task: str, outcome: RunOutcome, checkpoint: str = "") -> None:
+        """Ends the run of a task with an outcome."""
         attempt = self.running.pop(task)
-        self._number += 1
-        self._stopped[task] = max(attempt, self._stopped.get(task, 0))
+        self._last_finished_number += 1
+        self._stopped_attempts[task] = max(attempt, self._stopped_attempts.get(task, 0))
         self._finished.append(
-            FinishedRun(self._number, task, attempt, how.value, checkpoint)
+            FinishedRun(
+                self._last_finished_number, task, attempt, outcome.value, checkpoint
+            )
         )
 
-    def end_all(self, how: RunOutcome = RunOutcome.DONE) -> int:
-        """
-        :returns: how many runs were ended.
+    def finish_all(self, outcome: RunOutcome = RunOutcome.DONE) -> int:
+        """Ends all runs with an outcome.
+
+        :returns: number of runs ended.
         """
         names = list(self.running)
         for name in names:
-            self.end(name, how)
+            self.finish(name, outcome)
         return len(names)
 
     def list_runs(self, acknowledged: int) -> RenewalReply:
-        """
-        :returns: runs and ends after the acknowledged one.
+        """Discards finished runs up to number ``acknowledged``.
+
+        :returns: the run list: running tasks and the remaining finished runs.
         """
         self.acknowledged = max(self.acknowledged, acknowledged)
         for finished in self._finished:
             if finished.number <= acknowledged and finished.outcome == RunOutcome.DONE:
-                self.done_s[finished.task] = time.monotonic()
+                self.completion_acknowledged_s[finished.task] = time.monotonic()
         self._finished = [f for f in self._finished if f.number > acknowledged]
         running = tuple(
             RunningTask(
@@ -98,38 +104,41 @@
         )
 
     def start(self, order: StartOrder, epoch: int) -> OrderReply:
-        """
-        :returns: outcome of a start.
+        """Starts a run unless the order is late or for an earlier attempt.
+
+        :returns: whether the order was carried out, with the reason if not.
         """
         if order.deadline_ms <= self.clock_ms:
             return OrderReply(OrderStatus.REJECTED, "late", self.clock_ms)
-        if order.attempt <= self._stopped.get(order.task, 0):
+        if order.attempt <= self._stopped_attempts.get(order.task, 0):
             return OrderReply(OrderStatus.REJECTED, "old", self.clock_ms)
         if self.running.get(order.task) != order.attempt:
             self.running[order.task] = order.attempt
             self.started.append(StartedRun(order.task, order.attempt, epoch))
-            self.started_s[order.task] = time.monotonic()
+            self.latest_start_s[order.task] = time.monotonic()
         return OrderReply(OrderStatus.DONE, "", self.clock_ms)
 
     def stop(self, task: str, attempt: int) -> OrderReply:
+        """Stops a run and rejects later starts of the same attempt.
+
+        :returns: that the order was carried out.
         """
-        :returns: outcome of a stop.
-        """
-        self._stopped[task] = max(attempt, self._stopped.get(task, 0))
+        self._stopped_attempts[task] = max(attempt, self._stopped_attempts.get(task, 0))
         if self.running.get(task) == attempt:
-            self.end(task, RunOutcome.STOPPED)
+            self.finish(task, RunOutcome.STOPPED)
         return OrderReply(OrderStatus.DONE, "", self.clock_ms)
 
     def throttle(self, task: str, percent: int) -> OrderReply:
+        """Records the throttle of a task.
+
+        :returns: that the order was carried out.
         """
-        :returns: outcome of a limit of a task's share.
-        """
-        self.paces[task] = percent
+        self.throttle_percents[task] = percent
         return OrderReply(OrderStatus.DONE, "", self.clock_ms)
 
 
 class MemoryWorkerCalls(WorkerCalls):
-    """Calls of one owner to a :class:`MemoryWorker`."""
+    """Calls of one service owner to a :class:`MemoryWorker`."""
 
     def __init__(self, worker: MemoryWorker, epoch: int) -> None:
         self._worker = worker
@@ -139,34 +148,36 @@
         self, *, acknowledged: int, deadline_ms: int | None, wait_ms: int
     ) -> RenewalReply:
         worker = self._worker
-        if worker.is_cut:
-            raise WorkerCallError("no answer", may_have_run=True)
+        if worker.is_unreachable:
+            raise WorkerCallError(
+                "the worker is set to be unreachable", may_have_run=True
+            )
         if self._epoch < worker.epoch:
-            raise StaleEpochError("a higher epoch was seen")
+            raise StaleEpochError("the worker has seen a higher epoch")
         worker.epoch = self._epoch
         worker.deadline_ms = max(worker.deadline_ms, deadline_ms or 0)
         return worker.list_runs(acknowledged)
 
     def start(self, order: StartOrder) -> OrderReply:
-        return self._order(lambda: self._worker.start(order, self._epoch))
+        return self._execute_order(lambda: self._worker.start(order, self._epoch))
 
     def stop(self, task: str, attempt: int) -> OrderReply:
-        return self._order(lambda: self._worker.stop(task, attempt))
+        return self._execute_order(lambda: self._worker.stop(task, attempt))
 
     def throttle(self, task: str, attempt: int, percent: int) -> OrderReply:
-        return self._order(lambda: self._worker.throttle(task, percent))
+        return self._execute_order(lambda: self._worker.throttle(task, percent))
 
     def close(self) -> None:
         pass
 
-    def _order(self, carry_out) -> OrderReply:
+    def _execute_order(self, execute) -> OrderReply:
         worker = self._worker
-        if worker.is_cut:
-            return OrderReply(OrderStatus.UNKNOWN, "no answer")
+        if worker.is_unreachable:
+            return OrderReply(OrderStatus.UNKNOWN, "no response")
         if self._epoch < worker.epoch:
             return OrderReply(OrderStatus.REJECTED, "fence")
         worker.epoch = self._epoch
-        reply = carry_out()
-        if worker.loses_answers:
-            return OrderReply(OrderStatus.UNKNOWN, "no answer")
+        reply = execute()
+        if worker.loses_responses:
+            return OrderReply(OrderStatus.UNKNOWN, "no response")
         return reply
--- a/standins/platform_http.py
+++ b/standins/platform_http.py
@@ -1,6 +1,6 @@
-"""The users' platform over HTTP on loopback: store of rows, workers and machines.
+"""HTTP stand-ins of the users' platform on loopback: row store, workers and hosts.
 
-Speaks the published protocol, as far as the tests need it.
+They implement the parts of the published protocol that the tests use.
 """
 
 import base64
@@ -23,33 +23,39 @@
 from sycamorecroft.scheduling.calls import OrderStatus, RunOutcome, StartOrder
 from sycamorecroft.store.interfaces import Check, Put, Row, StorePurpose
 
-HOLD_POLL_S = 0.01
+RENEWAL_POLL_S = 0.01
 PAGE_ROWS_COUNT = 500
 
 
 class JsonServer:
-    """HTTP server whose calls take and return JSON."""
+    """HTTP server with JSON bodies in requests and responses."""
 
     def __init__(self, port: int) -> None:
         self.address = f"127.0.0.1:{port}"
         settings = ServerSettings(self.address, 32, 500, 2**20, 10)
-        self._server = EntryServer(self._serve, settings)
+        self._server = EntryServer(self._serve_request, settings)
         self._server.start()
 
     def stop(self) -> None:
-        """Stops serving."""
+        """Stops the server; open requests get 1 s to finish."""
         self._server.stop(1.0)
 
-    def answer(self, method: str, path: str, query: dict, body: dict) -> tuple:
-        """
-        :returns: status and body.
+    def handle(self, method: str, path: str, query: dict, body: dict) -> tuple:
+        """Handles a request.
+
+        :returns: status and JSON body of the response.
         """
         raise NotImplementedError
 
-    def _serve(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
+    def _serve_request(
+        self, environ: dict, start_response: Callable
+    ) -> Iterable[bytes]:
         text = environ["wsgi.input"].read()
-        query = {k: v[0] for k, v in parse_qs(environ["QUERY_STRING"]).items()}
-        status, body = self.answer(
+        query = {
+            name: values[0]
+            for name, values in parse_qs(environ["QUERY_STRING"]).items()
+        }
+        status, body = self.handle(
             environ["REQUEST_METHOD"],
             environ["PATH_INFO"],
             query,
@@ -62,20 +68,20 @@
 
 
 class StoreServer(JsonServer):
-    """Store of rows.
+    """Stand-in of the row store.
 
-    :ivar tables: the rows.
+    :ivar tables: rows and fault injection.
     """
 
     def __init__(self, port: int) -> None:
         self.tables = MemoryPartitions()
         super().__init__(port)
 
-    def answer(self, method: str, path: str, query: dict, body: dict) -> tuple:
+    def handle(self, method: str, path: str, query: dict, body: dict) -> tuple:
         try:
-            return 200, self._answer(path, query, body)
+            return 200, self._handle_call(path, query, body)
         except StoreConflictError as error:
-            return 412, self._rows(error.rows)
+            return 412, self._encode_rows(error.rows)
         except StoreHistoryLostError:
             return 410, {}
         except StoreUnavailableError:
@@ -83,7 +89,7 @@
         except StoreOutcomeUnknownError:
             return 500, {}
 
-    def _answer(self, path: str, query: dict, body: dict) -> dict:
+    def _handle_call(self, path: str, query: dict, body: dict) -> dict:
         tables = self.tables
         tables.store_time_ms = int(time.monotonic() * 1000)
         match path:
@@ -97,7 +103,7 @@
                     after_version=int(query["after"]),
                     wait_s=int(query["wait-ms"]) / 1000,
                 )
-                return self._rows(scan.rows)
+                return self._encode_rows(scan.rows)
         scan = tables.scan_part(
             query["table"],
             query.get("part", ""),
@@ -106,7 +112,7 @@
             end_key=query.get("to", ""),
         )
         page = scan.rows[:PAGE_ROWS_COUNT]
-        return self._rows(page) | {"has-more": len(scan.rows) > PAGE_ROWS_COUNT}
+        return self._encode_rows(page) | {"has-more": len(scan.rows) > PAGE_ROWS_COUNT}
 
     def _transact(self, body: dict) -> dict:
         checks = [
@@ -114,59 +120,62 @@
             for row in body["expected-rev"]
         ]
         puts = [
-            Put(r["table"], r["key"], base64.b64decode(r["value"]), r["part"])
-            for r in body["puts"]
+            Put(row["table"], row["key"], base64.b64decode(row["value"]), row["part"])
+            for row in body["puts"]
+        ]
+        puts += [
+            Put(row["table"], row["key"], None, row["part"]) for row in body["deletes"]
         ]
-        puts += [Put(r["table"], r["key"], None, r["part"]) for r in body["deletes"]]
         version = self.tables.transact(checks, puts, purpose=StorePurpose.VIEW)
         return {"ver": version, "now-ms": self.tables.store_time_ms}
 
-    def _rows(self, rows: Iterable[Row]) -> dict:
-        encoded = []
+    def _encode_rows(self, rows: Iterable[Row]) -> dict:
+        encoded_rows = []
         for row in rows:
-            wire = {
+            encoded_row = {
                 "table": row.table,
                 "part": row.part,
                 "key": row.key,
                 "ver": row.version,
             }
             if row.value is None:
-                wire["deleted"] = True
+                encoded_row["deleted"] = True
             else:
-                wire["value"] = base64.b64encode(row.value).decode()
-            encoded.append(wire)
+                encoded_row["value"] = base64.b64encode(row.value).decode()
+            encoded_rows.append(encoded_row)
         return {
-            "rows": encoded,
+            "rows": encoded_rows,
             "ver": self.tables.version,
             "now-ms": self.tables.store_time_ms,
         }
 
     def put(self, table: str, key: str, value: dict) -> None:
-        """Writes a row as the operator or a worker does."""
+        """Writes a row, as an operator or a worker does."""
         put = Put(table, key, json.dumps(value).encode())
         self.tables.transact((), (put,), purpose=StorePurpose.VIEW)
 
 
 class WorkerServer(JsonServer):
-    """Worker that ends each task after a while.
+    """Stand-in of a worker that completes each task after a fixed time.
 
-    :ivar worker: its state.
+    :param task_duration_s: time from the first start of a task to its completion.
+    :ivar worker: state of the worker.
     """
 
-    def __init__(self, port: int, *, task_s: float = 0.05) -> None:
+    def __init__(self, port: int, *, task_duration_s: float = 0.05) -> None:
         self.worker = MemoryWorker()
         self._lock = threading.Lock()
-        self._task_s = task_s
-        self._started_s: dict[str, float] = {}
+        self._task_duration_s = task_duration_s
+        self._first_start_s: dict[str, float] = {}
         super().__init__(port)
 
-    def answer(self, method: str, path: str, query: dict, body: dict) -> tuple:
+    def handle(self, method: str, path: str, query: dict, body: dict) -> tuple:
         with self._lock:
             self.worker.clock_ms = int(time.monotonic() * 1000)
             if path == "/healthz":
                 return 200, {}
         if path == "/api/hold":
-            return self._hold(body)
+            return self._renew_leases(body)
         calls = self.worker.calls(body["fence"])
         with self._lock:
             if path == "/api/run-start":
@@ -179,17 +188,17 @@
                         body.get("checkpoint", ""),
                     )
                 )
-                self._started_s.setdefault(body["task"], time.monotonic())
+                self._first_start_s.setdefault(body["task"], time.monotonic())
             else:
                 reply = calls.stop(body["task"], body["attempt"])
         status = 200 if reply.status is OrderStatus.DONE else 409
         return status, {"clock-ms": self.worker.clock_ms, "reason": reply.reason}
 
-    def _hold(self, body: dict) -> tuple:
-        end_s = time.monotonic() + body.get("wait-ms", 0) / 1000
+    def _renew_leases(self, body: dict) -> tuple:
+        wait_end_s = time.monotonic() + body.get("wait-ms", 0) / 1000
         while True:
             with self._lock:
-                self._end_tasks()
+                self._finish_tasks()
                 self.worker.clock_ms = int(time.monotonic() * 1000)
                 try:
                     reply = self.worker.calls(body["fence"]).renew_leases(
@@ -199,9 +208,9 @@
                     )
                 except StaleEpochError:
                     return 409, {"reason": "fence", "clock-ms": self.worker.clock_ms}
-            if reply.finished or time.monotonic() >= end_s:
+            if reply.finished or time.monotonic() >= wait_end_s:
                 break
-            time.sleep(HOLD_POLL_S)
+            time.sleep(RENEWAL_POLL_S)
         return 200, {
             "clock-ms": reply.clock_ms,
             "born": reply.incarnation_ms,
@@ -209,18 +218,18 @@
             "finished": [list(row) for row in reply.finished],
         }
 
-    def _end_tasks(self) -> None:
+    def _finish_tasks(self) -> None:
         now_s = time.monotonic()
         deadline_ms = self.worker.deadline_ms
         if deadline_ms and now_s * 1000 >= deadline_ms:
             self.worker.running.clear()
         for task in list(self.worker.running):
-            if now_s - self._started_s.get(task, now_s) > self._task_s:
-                self.worker.end(task, RunOutcome.DONE)
+            if now_s - self._first_start_s.get(task, now_s) > self._task_duration_s:
+                self.worker.finish(task, RunOutcome.DONE)
 
 
-class MachineServer(JsonServer):
-    """Machines that stay where they are."""
+class HostServer(JsonServer):
+    """Stand-in of the host service, without hosts."""
 
-    def answer(self, method: str, path: str, query: dict, body: dict) -> tuple:
+    def handle(self, method: str, path: str, query: dict, body: dict) -> tuple:
         return 200, {"machines": [], "next-token": None}
--- a/standins/platform_service.py
+++ b/standins/platform_service.py
@@ -1,7 +1,7 @@
-"""Process that plays the platform over HTTP on loopback.
+"""Stand-in process that serves the platform over HTTP on loopback.
 
 Run as ``python -m standins.platform_service --port 8100``. Prints ``ready ADDRESS``
-once it listens.
+once it accepts connections.
 """
 
 import argparse
@@ -14,18 +14,19 @@
 from standins.memory_platform import MemoryPlatform
 from standins.platform_application import PlatformApplication
 
-# A delayed call holds a thread; 9 daemons have up to 16 connections each.
+# A delayed call occupies a thread; 9 daemons have up to 16 connections each.
 THREADS_COUNT = 192
 CONNECTIONS_COUNT = 1000
 
-# Bodies stay in memory, as on the entry hosts.
+# Bodies up to this size are kept in memory instead of temporary files, as on the
+# diskless entry hosts.
 BUFFER_BYTES = 64 * 1024 * 1024
 
 
 class PlatformServer:
-    """Serves a platform on 127.0.0.1.
+    """HTTP server of a platform on 127.0.0.1.
 
-    :param port: 0 takes a free port.
+    :param port: port to listen on; 0 selects a free port.
     """
 
     def __init__(
@@ -35,7 +36,7 @@
         port: int = 0,
         threads_count: int = THREADS_COUNT,
     ) -> None:
-        # A lost response is logged by waitress as a client that went away.
+        # waitress would log each lost response as a disconnected client.
         logging.getLogger("waitress").setLevel(logging.ERROR)
         self._server = waitress.create_server(
             PlatformApplication(platform),
@@ -45,7 +46,7 @@
             connection_limit=CONNECTIONS_COUNT,
             inbuf_overflow=BUFFER_BYTES,
             outbuf_overflow=BUFFER_BYTES,
-            # Without it waitress uses select(), which fails on the 1,024th descriptor.
+            # By default waitress uses select(), which fails from descriptor 1024 on.
             asyncore_use_poll=True,
         )
 
@@ -59,14 +60,14 @@
         self._server.run()
 
     def close(self) -> None:
-        """Ends :meth:`run`, from any thread; waits for calls in progress.
+        """Ends :meth:`run` after calls in progress. May be called by any thread.
 
-        Sockets are closed by the thread that polls them: closed by another thread,
-        their descriptors could be taken by new files while they are still polled.
+        Sockets are closed by the thread that polls them: if another thread closed them,
+        their descriptors could be reused by new files while they are still polled.
         """
         self._server.task_dispatcher.shutdown()
-        # Woken by a response, the polling thread may close the trigger before this
-        # thread has written to it.
+        # A response may wake the polling thread, which may then close the trigger
+        # before this thread has written to it.
         with contextlib.suppress(OSError):
             self._server.trigger.pull_trigger(self._close_sockets)
 
@@ -75,7 +76,7 @@
 
 
 def _parse_arguments() -> argparse.Namespace:
-    parser = argparse.ArgumentParser(description="stand-in of the platform")
+    parser = argparse.ArgumentParser(description="stand-in for the platform")
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--reboot-s", type=float, default=30.0)
     parser.add_argument("--host-list-lag-s", type=float, default=5.0)
--- a/standins/scripted_tables.py
+++ b/standins/scripted_tables.py
@@ -1,4 +1,4 @@
-"""Table services with faults at a chosen call, for tests."""
+"""Table service with faults at chosen calls, for tests."""
 
 from collections.abc import Callable, Sequence
 
@@ -18,11 +18,13 @@
 
 
 class ScriptedTables(TableService):
-    """Passes calls on, except those that a fault is set for.
+    """Forwards calls to a table service, except those affected by a fault.
 
-    ``fail_at`` is the number of the call, from 1, that fails. It takes effect first if
-    ``takes_effect`` is set. With ``holds_writes`` set, writes get no answer and arrive
-    only when :meth:`deliver` is called.
+    :ivar calls_count: number of calls so far.
+    :ivar fail_at: number of the call, counted from 1, that fails; 0 for none.
+    :ivar takes_effect: whether a write that fails has taken effect before.
+    :ivar holds_writes: whether writes fail with an unknown outcome and are applied only
+        by :meth:`deliver`.
     """
 
     def __init__(self, tables: TableService) -> None:
@@ -31,10 +33,10 @@
         self.fail_at = 0
         self.takes_effect = False
         self.holds_writes = False
-        self._held: list[Callable[[], object]] = []
+        self._held_writes: list[Callable[[], object]] = []
 
     def read(self, table: str, key: str, *, purpose: StorePurpose) -> Row | None:
-        self._count(is_write=False)
+        self._count_call(is_write=False)
         return self._tables.read(table, key, purpose=purpose)
 
     def scan(
@@ -45,7 +47,7 @@
         prefix: str = "",
         after_version: int = 0,
     ) -> Scan:
-        self._count(is_write=False)
+        self._count_call(is_write=False)
         return self._tables.scan(
             table, purpose=purpose, prefix=prefix, after_version=after_version
         )
@@ -57,29 +59,36 @@
             return self._tables.transact(checks, puts, purpose=purpose)
 
         if self.holds_writes:
-            self._held.append(action)
-            raise StoreOutcomeUnknownError("the write is held back")
-        if self._count(is_write=True):
+            self._held_writes.append(action)
+            raise StoreOutcomeUnknownError(
+                "the write is held by the stand-in until it is delivered"
+            )
+        if self._count_call(is_write=True):
             action()
-            raise StoreOutcomeUnknownError("the response was lost")
+            raise StoreOutcomeUnknownError(
+                "the response of the write was lost by the stand-in"
+            )
         return action()
 
     def deliver(self) -> None:
-        """Lets the held writes arrive; their answers are lost."""
-        held, self._held = self._held, []
-        for action in held:
+        """Applies the held writes; their responses are lost."""
+        held_writes, self._held_writes = self._held_writes, []
+        for action in held_writes:
             try:
                 action()
-            except PlatformError:  # Nobody waits for the answer.
+            except PlatformError:  # The caller no longer waits for the response.
                 continue
 
-    def _count(self, *, is_write: bool) -> bool:
+    def _count_call(self, *, is_write: bool) -> bool:
         """
-        :returns: whether the answer of this write is to be lost.
+        :returns: whether the response of this write must be lost.
+        :raises StoreUnavailableError: when this call must fail without effect.
         """
         self.calls_count += 1
         if self.calls_count != self.fail_at:
             return False
         if is_write and self.takes_effect:
             return True
-        raise StoreUnavailableError(f"call {self.calls_count} is set to fail")
+        raise StoreUnavailableError(
+            f"call {self.calls_count} fails because fail_at is set to it"
+        )
--- a/standins/service_driver.py
+++ b/standins/service_driver.py
@@ -1,4 +1,4 @@
-"""Runs the scheduler of a service step by step against stand-ins, in one thread."""
+"""Steps the scheduler of a service against in-memory stand-ins, in one thread."""
 
 from standins.memory_partitions import MemoryPartitions
 from standins.memory_worker import MemoryWorker
@@ -44,9 +44,9 @@
 PROGRESS = progress_table(SERVICE)
 
 
-def queue_of(*, attempts_count: int = 3, priority: int = 0) -> Queue:
+def make_queue(*, attempts_count: int = 3, priority: int = 0) -> Queue:
     """
-    :returns: queue of the service.
+    :returns: queue of the service ``rating``.
     """
     return Queue(
         f"queue-{priority}",
@@ -61,21 +61,22 @@
     )
 
 
-def step_of(tasks_count: int = 1, cpu_millicores: int = 1000, **fields) -> StepSpec:
+def make_step(tasks_count: int = 1, cpu_millicores: int = 1000, **fields) -> StepSpec:
     """
-    :returns: step with the given fields.
+    :returns: step with ``tasks_count`` tasks of the given demand; ``fields`` sets
+        further fields of the step.
     """
     demand = Resources(cpu_millicores, 100, 0)
     return StepSpec(tasks_count, demand, estimate_ms=800, **fields)
 
 
-def entry_of(
+def make_registration(
     worker_id: str, *, rack: str = "r1", cpu_millicores: int = 8000, **fields
 ) -> WorkerRegistration:
     """
-    :returns: entry of a worker.
+    :returns: registration of a worker; ``fields`` overrides its defaults.
     """
-    values = {
+    defaults = {
         "address": "10.0.0.1:1",
         "data_centre": "dc1",
         "is_draining": False,
@@ -86,26 +87,29 @@
         SERVICE,
         labels=("a", rack),
         capacity=Resources(cpu_millicores, 64000, 0),
-        **values,
+        **defaults,
     )
 
 
 class Site:
-    """Store, workers and clock that successive owners share."""
+    """Store, workers and clock shared by successive owners of the service.
+
+    :ivar registrations: registration by worker id; tests may change them.
+    """
 
     def __init__(self, workers_count: int = 2) -> None:
         self.clock = ManualClock()
         self.clock.advance(100.0)
         self.tables = MemoryPartitions()
         self.workers: dict[str, MemoryWorker] = {}
-        self.entries: dict[str, WorkerRegistration] = {}
+        self.registrations: dict[str, WorkerRegistration] = {}
         for number in range(workers_count):
             name = f"w{number}"
             self.workers[name] = MemoryWorker()
-            self.entries[name] = entry_of(name, rack=f"r{number % 2}")
+            self.registrations[name] = make_registration(name, rack=f"r{number % 2}")
 
     def advance(self, duration_s: float) -> None:
-        """Lets time pass; leases of workers that aren't reached expire."""
+        """Advances all clocks; tasks whose leases have expired are ended."""
         self.clock.advance(duration_s)
         for worker in self.workers.values():
             worker.clock_ms += int(duration_s * 1000)
@@ -113,9 +117,9 @@
                 worker.running.clear()
 
     def submit(self, job_id: str, *steps: StepSpec, queue: Queue | None = None) -> None:
-        """Stores a job."""
+        """Stores a job, as on its submission."""
         spec = JobSpec(job_id, steps)
-        row = JobRow(queue or queue_of(), spec, self.now_ms)
+        row = JobRow(queue or make_queue(), spec, self.now_ms)
         self._put(Put(JOBS, job_id, encode_row(row), jobs_part(SERVICE, job_id)))
 
     def cancel(self, job_id: str) -> None:
@@ -129,19 +133,19 @@
 
     @property
     def now_ms(self) -> int:
-        """Unix time."""
+        """Unix time in milliseconds."""
         return int(self.clock.now().timestamp() * 1000)
 
     def state(self, job_id: str) -> JobState | None:
         """
-        :returns: state of a job as it is stored.
+        :returns: stored state of a job, ``None`` before its first commit.
         """
         row = self.tables.row(PROGRESS, job_id, SERVICE)
         return decode_row(row.value, ProgressRow).state if row else None
 
     def started_count(self, task: str) -> int:
         """
-        :returns: starts of a task that workers carried out.
+        :returns: number of starts of a task over all workers.
         """
         return sum(
             start.task == task
@@ -151,14 +155,25 @@
 
 
 class ServiceDriver:
-    """One owner of the service; several may believe that they are the owner."""
+    """Owner of the service.
+
+    Several drivers may exist at once, as after a failover, of which only the one with
+    the highest epoch still owns the service.
+
+    :param former_lease_s: time for which the former owner's task leases may be valid.
+    :ivar is_service_lost: whether this driver has seen that it no longer owns the
+        service; it then takes no further steps.
+    :ivar approved_workers: workers that advice requests are approved for.
+    :ivar advice_requests: advice requests so far.
+    :ivar tickets: ticket of each start order so far.
+    """
 
     def __init__(self, site: Site, epoch: int, *, former_lease_s: float = 0.0) -> None:
         self.site = site
         self.epoch = epoch
-        self.is_lost = False
+        self.is_service_lost = False
         self.approved_workers: set[str] = set()
-        self.questions: list[AdviceRequest] = []
+        self.advice_requests: list[AdviceRequest] = []
         self.tickets: list[str] = []
         self._acknowledged: dict[str, int] = {}
         self._deadlines_ms: dict[str, int] = {}
@@ -170,7 +185,7 @@
         jobs = read_all_parts(site.tables, JOBS, purpose=StorePurpose.JOBS)
         progress = site.tables.scan_part(PROGRESS, SERVICE, purpose=StorePurpose.JOBS)
         self._jobs_version = jobs.version
-        self.scheduler.reports.apply_registrations(site.entries.values(), now_s)
+        self.scheduler.reports.apply_registrations(site.registrations.values(), now_s)
         self.scheduler.load(jobs.rows, progress.rows, now_s, site.now_ms)
         self.committer = Committer(
             site.tables, claim, site.clock, lambda result: None, lambda sent_s: None
@@ -189,8 +204,8 @@
         return ServiceClaim(SERVICE, self.epoch, version, commits_version, 0)
 
     def step(self) -> None:
-        """Reads changes, lists runs, places tasks, commits and gives orders."""
-        if self.is_lost:
+        """Applies changes and run lists, places tasks, commits, and sends orders."""
+        if self.is_service_lost:
             return
         self._read_jobs()
         self._list_runs()
@@ -200,8 +215,8 @@
         self.commit()
         self.send_orders()
 
-    def steps(self, count: int, interval_s: float = 0.2) -> None:
-        """Steps several times, with time passing in between."""
+    def run_steps(self, count: int, interval_s: float = 0.2) -> None:
+        """Steps ``count`` times and advances the clocks after each step."""
         for _ in range(count):
             self.step()
             self.site.advance(interval_s)
@@ -213,12 +228,14 @@
         self._jobs_version = scan.version
         now_s = self.site.clock.monotonic_s()
         self.scheduler.apply_job_rows(scan.rows, now_s, self.site.now_ms)
-        self.scheduler.reports.apply_registrations(self.site.entries.values(), now_s)
+        self.scheduler.reports.apply_registrations(
+            self.site.registrations.values(), now_s
+        )
 
     def _list_runs(self) -> None:
         now_s = self.site.clock.monotonic_s()
         for name, worker in self.site.workers.items():
-            if name not in self.site.entries or self.is_lost:
+            if name not in self.site.registrations or self.is_service_lost:
                 continue
             deadline_ms = worker.clock_ms + int(LEASE_S * 1000)
             try:
@@ -230,7 +247,7 @@
             except WorkerCallError:
                 continue
             except StaleEpochError:
-                self.is_lost = True
+                self.is_service_lost = True
                 continue
             self._deadlines_ms[name] = deadline_ms
             self.scheduler.reports.apply_renewal(
@@ -242,26 +259,26 @@
             )
 
     def commit(self) -> None:
-        """Stores what has changed."""
+        """Stores the next commit, if there is one, and applies it."""
         now_s = self.site.clock.monotonic_s()
         commit = self.scheduler.next_commit(now_s)
-        if commit is None or self.is_lost:
+        if commit is None or self.is_service_lost:
             return
         if self.committer.store(commit) is CommitOutcome.LOST:
-            self.is_lost = True
+            self.is_service_lost = True
             return
         self.scheduler.apply_commit(commit, now_s)
         for item in commit.acknowledgements:
             self._acknowledged[item.worker_id] = item.number
 
     def send_orders(self) -> None:
-        """Gives the orders that are due."""
+        """Sends the pending orders to workers, and answers advice requests."""
         for order in self.scheduler.take_orders():
             self._send(order)
 
     def _send(self, order: StartTask | StopTask | ThrottleTask | AdviceRequest) -> None:
         if isinstance(order, AdviceRequest):
-            self._answer(order)
+            self._approve(order)
             return
         worker = self.site.workers.get(order.worker_id)
         if worker is None:
@@ -286,16 +303,16 @@
         )
         reply = calls.start(start)
         if reply.status is OrderStatus.FENCED:
-            self.is_lost = True
+            self.is_service_lost = True
         self.tickets.append(order.ticket)
         self.scheduler.reports.apply_start(run, reply, now_s)
 
-    def _answer(self, question: AdviceRequest) -> None:
-        self.questions.append(question)
+    def _approve(self, request: AdviceRequest) -> None:
+        self.advice_requests.append(request)
         approved = tuple(
             Approval(name, f"ticket-{name}")
-            for name in question.workers
+            for name in request.workers
             if name in self.approved_workers
         )
-        result = AdviceResult(question, Approvals(approved, TICKET_VALID_S))
+        result = AdviceResult(request, Approvals(approved, TICKET_VALID_S))
         self.scheduler.apply_advice(result, self.site.clock.monotonic_s())
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,7 +1,7 @@
-"""Starts a whole site on loopback: the platform, backend servers and daemons.
+"""Runs a whole site on loopback: the platform, backend servers and daemons.
 
-Used by the quick start, the features and the benchmarks. All processes end with
-:meth:`Site.stop`.
+The quick start, the features and the benchmarks use it. :meth:`Site.stop` ends all
+processes.
 """
 
 import contextlib
@@ -33,12 +33,12 @@
 STOP_TIMEOUT_S = 30.0
 _POLL_INTERVAL_S = 0.1
 
-# The backend stand-in's control port stands before the ports of its servers.
+# The control port of the backend stand-in precedes the ports of its servers.
 _CONTROL_PORT_OFFSET = 1
 
 
 class Response(NamedTuple):
-    """Response of a daemon or stand-in."""
+    """HTTP response of a daemon or stand-in."""
 
     status: int
     headers: Mapping[str, str]
@@ -46,37 +46,39 @@
 
     def json(self) -> Any:
         """
-        :returns: the decoded body.
+        :returns: the body decoded as JSON.
         """
         return msgspec.json.decode(self.body)
 
 
 def wait_until(
-    condition: Callable[[], bool], what: str, timeout_s: float = READY_TIMEOUT_S
+    condition: Callable[[], bool], description: str, timeout_s: float = READY_TIMEOUT_S
 ) -> float:
-    """
-    :param what: what is waited for, for the error.
+    """Polls a condition until it holds.
+
+    :param description: description of the condition, for the error.
     :returns: seconds waited.
-    :raises TimeoutError: if the condition doesn't hold in time.
+    :raises TimeoutError: when the condition does not hold within ``timeout_s``.
     """
     started_s = time.monotonic()
     while not condition():
         if time.monotonic() - started_s > timeout_s:
-            message = f"{what}: not within {timeout_s} s"
+            message = f"{description}: condition not met within {timeout_s} s"
             raise TimeoutError(message)
         time.sleep(_POLL_INTERVAL_S)
     return time.monotonic() - started_s
 
 
 class Site:
-    """A site of one deployment.
+    """Site that runs one deployment.
 
     :param deployment: folder with ``template.jsonc``, ``daemon.jsonc``, ``hosts.json``
         and one parameter file.
     :param folder: folder for settings and logs.
     :param port_shift: added to all ports, so that sites can run side by side.
     :param service_time_ms: mean service time of the backend servers.
-    :param settings: settings of the daemons that differ from the deployment's.
+    :param reboot_s: duration of a host's reboot.
+    :param settings: settings of the daemons that override the deployment's.
     """
 
     def __init__(
@@ -95,15 +97,17 @@
         self._service_time_ms = service_time_ms
         self._reboot_s = reboot_s
         self._settings = load_settings(deployment / "daemon.jsonc")
-        self._changed_settings = dict(settings or {})
+        self._settings_overrides = dict(settings or {})
         self.inventory: HostInventory = load_inventory(deployment / "hosts.json")
         self._processes: dict[str, subprocess.Popen] = {}
         self._http = urllib3.PoolManager(maxsize=64, num_pools=64)
-        self.entries = tuple(entry.name for entry in self._settings.entries)
+        self.entry_hosts = tuple(
+            entry_host.name for entry_host in self._settings.entries
+        )
 
-    # Addresses.
+    # Addresses
 
-    def _shifted(self, address: str) -> str:
+    def _shift_port(self, address: str) -> str:
         host, _, port = address.rpartition(":")
         return f"{host}:{int(port) + self._port_shift}"
 
@@ -111,28 +115,28 @@
     def platform_address(self) -> str:
         """``ip:port`` of the platform."""
         url = self._settings.platform_url
-        return self._shifted(url.removeprefix("http://"))
+        return self._shift_port(url.removeprefix("http://"))
 
     @property
     def backend_control_address(self) -> str:
-        """``ip:port`` of the control interface of the backend servers."""
+        """``ip:port`` of the backend servers' control interface."""
         first_port = self.inventory.base_port + self._port_shift
         return f"{self.inventory.base_ip}:{first_port - _CONTROL_PORT_OFFSET}"
 
-    def http_address(self, entry: str) -> str:
-        """``ip:port`` on which ``entry`` serves callers."""
-        first = self._settings.http_address
-        host, _, port = self._shifted(first).rpartition(":")
-        return f"{host}:{int(port) + self.entries.index(entry)}"
+    def http_address(self, entry_host: str) -> str:
+        """``ip:port`` on which an entry host serves callers."""
+        first_address = self._settings.http_address
+        host, _, port = self._shift_port(first_address).rpartition(":")
+        return f"{host}:{int(port) + self.entry_hosts.index(entry_host)}"
 
-    # Processes.
+    # Processes
 
     def start(self) -> None:
-        """Starts everything, publishes the configuration and the inventory."""
+        """Starts all processes, publishes configuration and inventory, and waits."""
         self.start_platform()
         self.start_backends()
-        for entry in self.entries:
-            self.start_entry(entry)
+        for entry_host in self.entry_hosts:
+            self.start_entry_host(entry_host)
         self.wait_for_listeners()
         self.publish_configuration()
         self.publish_inventory()
@@ -141,19 +145,19 @@
     def start_platform(self) -> None:
         """Starts the platform and declares its host list."""
         port = self.platform_address.rpartition(":")[2]
-        self._spawn(
+        self._spawn_process(
             "platform",
             ["-m", "standins.platform_service", "--port", port],
             ["--reboot-s", str(self._reboot_s), "--host-list-lag-s", "2"],
         )
-        wait_until(self._platform_answers, "platform listens")
+        wait_until(self._is_platform_responding, "platform responds")
         self.declare_hosts()
 
     def start_backends(self) -> None:
         """Starts all backend servers in one process."""
         first_port = self.inventory.base_port + self._port_shift
         size = self.inventory.worker_size
-        self._spawn(
+        self._spawn_process(
             "backend",
             ["-m", "standins.backend", "--first-port", str(first_port)],
             ["--control-port", str(first_port - _CONTROL_PORT_OFFSET)],
@@ -163,26 +167,32 @@
             ["--service-time-ms", str(self._service_time_ms)],
         )
 
-    def start_entry(self, entry: str) -> None:
+    def start_entry_host(self, entry_host: str) -> None:
         """Starts the daemon of an entry host."""
-        path = self._folder / f"{entry}.json"
-        path.write_text(json.dumps(self._entry_settings(entry)), encoding="utf-8")
-        self._spawn(entry, ["-m", "sycamorecroft.daemon.main", str(path)])
+        path = self._folder / f"{entry_host}.json"
+        path.write_text(json.dumps(self._daemon_settings(entry_host)), encoding="utf-8")
+        self._spawn_process(entry_host, ["-m", "sycamorecroft.daemon.main", str(path)])
 
-    def _entry_settings(self, entry: str) -> dict[str, Any]:
+    def _daemon_settings(self, entry_host: str) -> dict[str, Any]:
         document = msgspec.to_builtins(self._settings)
-        for peer in document["entries"]:
-            peer["grpc_address"] = self._shifted(peer["grpc_address"])
-        own = next(peer for peer in document["entries"] if peer["name"] == entry)
+        for entry_settings in document["entries"]:
+            entry_settings["grpc_address"] = self._shift_port(
+                entry_settings["grpc_address"]
+            )
+        own_entry = next(
+            entry_settings
+            for entry_settings in document["entries"]
+            if entry_settings["name"] == entry_host
+        )
         document |= {
-            "entry": entry,
-            "http_address": self.http_address(entry),
-            "grpc_address": own["grpc_address"],
+            "entry": entry_host,
+            "http_address": self.http_address(entry_host),
+            "grpc_address": own_entry["grpc_address"],
             "platform_url": f"http://{self.platform_address}",
         }
-        return document | self._changed_settings
+        return document | self._settings_overrides
 
-    def _spawn(self, name: str, *arguments: list[str]) -> None:
+    def _spawn_process(self, name: str, *arguments: list[str]) -> None:
         command = [sys.executable, *(item for part in arguments for item in part)]
         environment = os.environ | {"PYTHONPATH": f"{ROOT / 'src'}:{ROOT}"}
         with (self._folder / f"{name}.log").open("ab") as log:
@@ -201,20 +211,23 @@
         self._processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kills a process and waits for its end."""
+        """Kills a process and waits until it has ended."""
         self._processes[name].kill()
         self._processes[name].wait(STOP_TIMEOUT_S)
 
-    def stop_entry(self, entry: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Planned stop of a daemon.
+    def stop_entry_host(
+        self, entry_host: str, timeout_s: float = STOP_TIMEOUT_S
+    ) -> int:
+        """Stops a daemon gracefully.
 
         :returns: its exit code.
+        :raises subprocess.TimeoutExpired: when it has not ended after ``timeout_s``.
         """
-        self._processes[entry].terminate()
-        return self._processes[entry].wait(timeout_s)
+        self._processes[entry_host].terminate()
+        return self._processes[entry_host].wait(timeout_s)
 
     def stop(self) -> None:
-        """Ends all processes."""
+        """Kills all processes, also suspended ones, and waits until they have ended."""
         for process in self._processes.values():
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -222,13 +235,13 @@
         for process in self._processes.values():
             process.wait(STOP_TIMEOUT_S)
 
-    def logs(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """
-        :returns: what a process has written.
+        :returns: output of a process, from its standard output and error.
         """
         return (self._folder / f"{name}.log").read_text(encoding="utf-8")
 
-    # Calls.
+    # Calls
 
     def call(
         self,
@@ -240,7 +253,7 @@
         timeout_s: float = 30.0,
     ) -> Response:
         """
-        :raises urllib3.exceptions.HTTPError: if there is no whole response.
+        :raises urllib3.exceptions.HTTPError: when there is no complete response.
         """
         response = self._http.request(
             method,
@@ -254,33 +267,33 @@
 
     def request(
         self,
-        entry: str,
+        entry_host: str,
         service: str,
         body: bytes,
         headers: Mapping[str, str] | None = None,
         timeout_s: float = 60.0,
     ) -> Response:
-        """Sends a caller's request through an entry host."""
+        """Sends a caller's request to an entry host."""
         path = f"/v1/services/{service}/requests"
-        address = self.http_address(entry)
+        address = self.http_address(entry_host)
         return self.call(address, "POST", path, body, headers, timeout_s)
 
-    def operate(
-        self, entry: str, method: str, path: str, body: object = None
+    def call_operator(
+        self, entry_host: str, method: str, path: str, body: object = None
     ) -> Response:
-        """Makes an operator call."""
+        """Calls the operator interface of an entry host, with ``body`` as JSON."""
         content = None if body is None else msgspec.json.encode(body)
-        address = self.http_address(entry)
+        address = self.http_address(entry_host)
         return self.call(address, method, f"/v1/operator/{path}", content)
 
-    def status(self, entry: str) -> dict[str, Any]:
+    def status(self, entry_host: str) -> dict[str, Any]:
         """
-        :returns: status of the fleet as ``entry`` sees it.
+        :returns: status of the fleet as reported by an entry host.
         """
-        return self.operate(entry, "GET", "status").json()
+        return self.call_operator(entry_host, "GET", "status").json()
 
     def set_fault(self, fault: Mapping[str, Any]) -> None:
-        """Sets a fault of the platform."""
+        """Injects a fault into the platform; see ``POST /faults`` of its stand-in."""
         content = msgspec.json.encode(dict(fault))
         self.call(self.platform_address, "POST", "/faults", content)
 
@@ -288,19 +301,19 @@
         """Ends all faults of the platform."""
         self.call(self.platform_address, "DELETE", "/faults")
 
-    # Declarations.
+    # Declarations
 
     def declare_hosts(self, without: frozenset[str] = frozenset()) -> None:
         """Declares the platform's host list.
 
-        :param without: hosts that are gone.
+        :param without: names of hosts to leave out.
         """
         size = msgspec.to_builtins(self.inventory.worker_size)
         workers = [
             {
                 "name": worker.name,
                 "role": "worker",
-                "address": self._shifted(self.inventory.address_of(worker)),
+                "address": self._shift_port(self.inventory.address_of(worker)),
                 "data_centre": worker.data_centre,
                 "rack": worker.rack,
                 "status": "live",
@@ -308,26 +321,28 @@
             }
             for worker in self.inventory.workers
         ]
-        small = dict.fromkeys(size, 0)
-        entries = [
+        zero_size = dict.fromkeys(size, 0)
+        entry_host_rows = [
             {
-                "name": entry,
+                "name": entry_host,
                 "role": "entry",
-                "address": self.http_address(entry),
+                "address": self.http_address(entry_host),
                 "data_centre": self._settings.data_centre,
                 "rack": "entry",
                 "status": "live",
-                **small,
+                **zero_size,
             }
-            for entry in self.entries
+            for entry_host in self.entry_hosts
+        ]
+        hosts = [
+            host for host in workers + entry_host_rows if host["name"] not in without
         ]
-        hosts = [host for host in workers + entries if host["name"] not in without]
         body = msgspec.json.encode({"hosts": hosts})
         self.call(self.platform_address, "POST", "/hosts", body)
 
     def compile(self):
         """
-        :returns: the deployment's configuration.
+        :returns: the configuration compiled from the deployment.
         """
         template = load_template(self.deployment / "template.jsonc")
         names = ("template.jsonc", "daemon.jsonc", "tool.jsonc")
@@ -339,22 +354,28 @@
         return compile_configuration(template, files, version=1)
 
     def publish_configuration(self, base_version: int = 0) -> None:
-        """Publishes the deployment's configuration."""
+        """Publishes the deployment's configuration.
+
+        :raises RuntimeError: when the call is rejected.
+        """
         body = {
             "base_version": base_version,
             "author": "site",
             "configuration": msgspec.Raw(encode_configuration(self.compile())),
         }
-        response = self.operate(self.entries[0], "PUT", "configuration", body)
-        _require_ok(response)
+        response = self.call_operator(self.entry_hosts[0], "PUT", "configuration", body)
+        _require_success(response)
 
     def publish_inventory(self) -> None:
-        """Declares the pool of each worker."""
+        """Publishes the inventory, which assigns each worker to a pool.
+
+        :raises RuntimeError: when the call is rejected.
+        """
         size = self.inventory.worker_size
         hosts = [
             {
                 "host": worker.name,
-                "address": self._shifted(self.inventory.address_of(worker)),
+                "address": self._shift_port(self.inventory.address_of(worker)),
                 "data_centre": worker.data_centre,
                 "rack": worker.rack,
                 "pool": worker.pool,
@@ -364,50 +385,57 @@
             for worker in self.inventory.workers
         ]
         body = {"base_version": 0, "hosts": hosts}
-        _require_ok(self.operate(self.entries[0], "PUT", "inventory", body))
+        _require_success(
+            self.call_operator(self.entry_hosts[0], "PUT", "inventory", body)
+        )
 
-    # Waits.
+    # Waiting
 
     def wait_for_listeners(self) -> None:
-        """Waits until all daemons answer."""
-        for entry in self.entries:
-            wait_until(lambda entry=entry: self.answers(entry), f"{entry} listens")
+        """Waits until the HTTP servers of all daemons respond."""
+        for entry_host in self.entry_hosts:
+            wait_until(
+                lambda entry_host=entry_host: self.is_responding(entry_host),
+                f"{entry_host} responds",
+            )
 
     def wait_until_ready(self) -> float:
         """
-        :returns: seconds until all daemons are ready and know all workers.
+        :returns: seconds until all daemons were ready and listed all workers.
         """
         count = len(self.inventory.workers)
         return wait_until(
-            lambda: all(self._is_ready(entry, count) for entry in self.entries),
-            "all entry hosts ready",
+            lambda: all(
+                self._is_ready(entry_host, count) for entry_host in self.entry_hosts
+            ),
+            "all entry hosts are ready and list all workers",
         )
 
-    def answers(self, entry: str) -> bool:
+    def is_responding(self, entry_host: str) -> bool:
         """
-        :returns: whether the daemon's HTTP server answers.
+        :returns: whether the daemon's HTTP server responds.
         """
         try:
-            address = self.http_address(entry)
+            address = self.http_address(entry_host)
             return self.call(address, "GET", "/healthz", timeout_s=2).status == 200
         except urllib3.exceptions.HTTPError:
             return False
 
-    def _is_ready(self, entry: str, workers_count: int) -> bool:
-        ready = self.call(self.http_address(entry), "GET", "/readyz")
+    def _is_ready(self, entry_host: str, workers_count: int) -> bool:
+        ready = self.call(self.http_address(entry_host), "GET", "/readyz")
         if ready.status != 200:
             return False
-        pools = self.status(entry)["pools"]
+        pools = self.status(entry_host)["pools"]
         return sum(sum(states.values()) for states in pools.values()) == workers_count
 
-    def _platform_answers(self) -> bool:
+    def _is_platform_responding(self) -> bool:
         try:
             return self.call(self.platform_address, "GET", "/hosts").status == 200
         except urllib3.exceptions.HTTPError:
             return False
 
 
-def _require_ok(response: Response) -> None:
+def _require_success(response: Response) -> None:
     if response.status != 200:
-        message = f"call failed with status {response.status}: {response.body!r}"
+        message = f"expected status 200, got {response.status}: {response.body!r}"
         raise RuntimeError(message)
--- a/tests/test_memory_tables.py
+++ b/tests/test_memory_tables.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from standins.faults import FaultSwitch, Operation
+from standins.faults import FaultInjector, Operation
 from standins.memory_tables import MemoryTables
 from sycamorecroft.clock import ManualClock
 from sycamorecroft.errors import (
@@ -95,7 +95,7 @@
 
 def test_outage_ends_by_the_clock_and_affects_one_handle():
     clock = ManualClock()
-    tables = MemoryTables(FaultSwitch(clock))
+    tables = MemoryTables(FaultInjector(clock))
     other = tables.connect()
     tables.faults.set_down(duration_s=5)
     with pytest.raises(StoreUnavailableError):
@@ -107,7 +107,7 @@
 
 def test_delay_beyond_the_timeout_loses_the_response():
     clock = ManualClock()
-    tables = MemoryTables(FaultSwitch(clock, sleep=clock.advance, timeout_s=1.0))
+    tables = MemoryTables(FaultInjector(clock, sleep=clock.advance, timeout_s=1.0))
     tables.faults.set_delay(3.0, count=1)
     with pytest.raises(StoreOutcomeUnknownError):
         _put(tables, "a")
--- a/tests/test_node_path.py
+++ b/tests/test_node_path.py
@@ -7,7 +7,7 @@
 import pytest
 import urllib3
 
-from standins.platform_http import MachineServer, StoreServer, WorkerServer
+from standins.platform_http import HostServer, StoreServer, WorkerServer
 from sycamorecroft.clock import BoottimeClock
 from sycamorecroft.node.node import Node
 from sycamorecroft.settings.node import (
@@ -52,7 +52,7 @@
 class _Site:
     def __init__(self) -> None:
         self.store = StoreServer(_free_port())
-        self.machines = MachineServer(_free_port())
+        self.machines = HostServer(_free_port())
         self.workers = {f"i-{n}": WorkerServer(_free_port()) for n in range(2)}
         self.nodes: dict[str, Node] = {}
         self.addresses: dict[str, str] = {}
@@ -156,13 +156,13 @@
 def test_dark_store_is_refused_and_survived(site):
     """Guards against a node that doesn't come back after the store has."""
     site.wait_for(lambda: bool(site.nodes["h1"].supervisor.owned))
-    site.store.tables.is_dark = True
+    site.store.tables.is_unavailable = True
     path = "/a/00112233445566cc"
     status, _ = site.call("h1", "POST", path, JOB)
     assert status in (503, 504)
     time.sleep(2.0)
     assert site.call("h1", "POST", path, JOB)[0] == 503
-    site.store.tables.is_dark = False
+    site.store.tables.is_unavailable = False
     site.wait_for(lambda: site.call("h1", "POST", path, JOB)[0] == 200)
     complete = (200, {"state": "complete"})
     site.wait_for(lambda: site.call("h1", "GET", path) == complete)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the fault soak, and the seeds that once failed."""
+"""Short runs of the fault soak with fixed seeds, and tests of its observer."""
 
 import pytest
 
@@ -10,47 +10,47 @@
 DURATION_S = 8.0
 SEEDS = (
     1,
-    # A new owner gave up runs before it had asked their worker, and started tasks again
-    # whose ends the worker still listed.
+    # A new owner abandoned runs before it had read the run list of their worker, and
+    # restarted tasks whose outcomes the worker still listed.
     2,
-    # The observer took a job as refused whose second submission was under way: it was
-    # stored and started before it was answered.
+    # The observer considered a job rejected while its second submission was in flight;
+    # the submission was stored, and its task started, before the response.
     64,
 )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_under_faults_from_outside(seed):
-    """Guards against promises that break between real processes."""
+def test_guarantees_hold_under_external_faults(seed):
+    """Guards against violations of guarantees between real node processes."""
     result = run(seed, DURATION_S)
-    assert not result.broken, f"logs of the nodes: {result.folder}"
+    assert not result.broken, f"logs of the nodes are in {result.folder}"
     assert result.accepted_count
 
 
-def test_start_is_judged_when_each_submission_of_its_job_was_answered():
-    """Guards against a refusal that was not true, and against a false alarm of one."""
+def test_start_is_checked_once_each_submission_of_its_job_has_a_response():
+    """Guards against starts of rejected jobs, and false alarms during a submission."""
     worker = MemoryWorker()
     observer = Observer([worker])
-    observer.begin_submission("j1")
+    observer.record_submission_start("j1")
     observer.record_submission("j1", 503)
-    observer.begin_submission("j1")
+    observer.record_submission_start("j1")
     worker.calls(1).start(StartOrder("j1.0.0.0", 1, "", worker.clock_ms + 1))
     observer.check_workers()
-    assert not observer.broken
+    assert not observer.violations
     observer.record_submission("j1", 429)
     observer.check_workers()
-    assert observer.broken == ["task j1.0.0.0 of a refused job was started"]
+    assert observer.violations == ["task j1.0.0.0 of a rejected job was started"]
 
 
-def test_start_of_an_accepted_or_doubtful_job_is_allowed():
-    """Guards against an observer that takes any refusal as the last word."""
+def test_start_is_allowed_if_a_submission_was_accepted_or_its_outcome_is_unknown():
+    """Guards against false alarms for jobs rejected at first and then accepted."""
     worker = MemoryWorker()
     observer = Observer([worker])
     for job_id, status in (("j1", 200), ("j2", 504)):
-        for answer in (503, status):
-            observer.begin_submission(job_id)
-            observer.record_submission(job_id, answer)
+        for response_status in (503, status):
+            observer.record_submission_start(job_id)
+            observer.record_submission(job_id, response_status)
         name = f"{job_id}.0.0.0"
         worker.calls(1).start(StartOrder(name, 1, "", worker.clock_ms + 1))
     observer.check_workers()
-    assert not observer.broken
+    assert not observer.violations
