--- a/src/sycamorecroft/cli/tests/test_fleet_commands.py
+++ b/src/sycamorecroft/cli/tests/test_fleet_commands.py
@@ -67,9 +67,9 @@
         self.loses_response = False
         self.records = RequestRecords(clock)
         digests = [
-            MemberDigest(name, "1", 1, 1, 1, 1, 0, True) for name in fleet.entries
+            MemberDigest(name, "1", 1, 1, 1, 1, 0, True) for name in fleet.entry_hosts
         ]
-        names = tuple(fleet.entries)
+        names = tuple(fleet.entry_hosts)
         membership = MembershipView(entry, names, names[:2], len(names), tuple(digests))
         # The job store waits for batches of submissions in real time.
         self.jobs = JobStore(tables, SystemClock())
@@ -143,7 +143,9 @@
     parameters = load_parameters(SITE / "street-safety-trust.jsonc")
     template = load_template(SITE / "template.jsonc")
     configuration = compile_configuration(template, [parameters], 1)
-    daemons = [Daemon(fleet, entry, configuration) for entry in list(fleet.entries)[:2]]
+    daemons = [
+        Daemon(fleet, entry, configuration) for entry in list(fleet.entry_hosts)[:2]
+    ]
     for daemon in daemons:
         daemon.jobs.start()
         daemon.thread.start()
@@ -182,7 +184,7 @@
     explanations = tool.run_json("maintenance", "explain", wave["id"])["hosts"]
     assert {item["reason"] for item in explanations} == {"wave_paused"}
     tool.run("maintenance", "resume", wave["id"])
-    frozen_entry = next(iter(tool.fleet.entries.values()))
+    frozen_entry = next(iter(tool.fleet.entry_hosts.values()))
     frozen_entry.is_frozen = True
     controller = tool.daemons[0].controller
     for _ in range(12):
@@ -209,7 +211,7 @@
     response = urllib3.request("POST", url, body=b"reading")
     request_id = response.headers["Sycamorecroft-Request-Id"]
     reply = tool.run_json("explain", "request", request_id)
-    assert reply["entry"] == list(tool.fleet.entries)[1]
+    assert reply["entry"] == list(tool.fleet.entry_hosts)[1]
     assert reply["record"]["reason"] == "expected_wait"
     error = tool.run("explain", "request", "none", code=ExitCode.NOT_FOUND)
     assert "these daemons didn't answer: http://127.0.0.1:1" in error
@@ -222,7 +224,7 @@
     output = tool.run("status")
     for problem in (
         "daemon at http://127.0.0.1:1 doesn't answer",
-        f"entry host {list(tool.fleet.entries)[2]} is not reached",
+        f"entry host {list(tool.fleet.entry_hosts)[2]} is not reached",
         "pool rating has 4 of 8 configured hosts",
         "no daemon that answers owns the queue of service hotline",
     ):
--- a/src/sycamorecroft/jobs/tests/test_controller.py
+++ b/src/sycamorecroft/jobs/tests/test_controller.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from standins.hooked import Hooked, Moment
+from standins.hooked import HookedProxy, HookPoint
 from standins.job_pool import GIB, JobPool
 from standins.scripted_tables import ScriptedTables
 from sycamorecroft.errors import NotLeaseHolderError, StoreOutcomeUnknownError
@@ -41,8 +41,8 @@
     :returns: whether the controller reached that hook point, and so crashed.
     """
     hook = CrashAt(count)
-    tables = Hooked(pool.platform.tables, hook)
-    running = pool.add_controller(tables, Hooked(pool.platform.tasks, hook))
+    tables = HookedProxy(pool.platform.tables, hook)
+    running = pool.add_controller(tables, HookedProxy(pool.platform.tasks, hook))
     try:
         pool.run(6.0)
     except Crash:
@@ -88,7 +88,7 @@
     pauses = []
 
     def pause(name, moment):
-        if name == "start" and moment is Moment.BEFORE and not pauses:
+        if name == "start" and moment is HookPoint.BEFORE and not pauses:
             pauses.append(True)
             pool.controllers = [pool.add_controller()]
             pool.platform.tasks._is_worker = lambda name: name != "w0"
@@ -97,7 +97,7 @@
             [job] = pool.jobs()
             assert (job["state"], job["attempt"]) == (JobState.RUNNING, 2)
 
-    first = pool.add_controller(tasks=Hooked(pool.platform.tasks, pause))
+    first = pool.add_controller(tasks=HookedProxy(pool.platform.tasks, pause))
     pool.submit("key", command="")
     first.step(pool.clock.monotonic_s())
     assert pauses
@@ -113,14 +113,14 @@
 
     def pause(name, moment):
         is_commit = name == "transact" and first.lease.is_held
-        if is_commit and moment is Moment.BEFORE and not pauses:
+        if is_commit and moment is HookPoint.BEFORE and not pauses:
             pauses.append(True)
             pool.controllers = [pool.add_controller()]
             workers = pool.workers.by_name
             pool.workers.by_name = {"w3": workers["w3"]._replace(is_active=False)}
             pool.run(20.0)
 
-    first = pool.add_controller(Hooked(pool.platform.tables, pause))
+    first = pool.add_controller(HookedProxy(pool.platform.tables, pause))
     pool.submit("key", command="")
     first.step(pool.clock.monotonic_s())
     assert pauses
@@ -134,12 +134,12 @@
     faults = []
 
     def lose_response(name, moment):
-        fault_moment = Moment.AFTER if takes_effect else Moment.BEFORE
+        fault_moment = HookPoint.AFTER if takes_effect else HookPoint.BEFORE
         if name == "start" and moment is fault_moment and not faults:
             faults.append(True)
             raise StoreOutcomeUnknownError("lost")
 
-    pool.add_controller(tasks=Hooked(pool.platform.tasks, lose_response))
+    pool.add_controller(tasks=HookedProxy(pool.platform.tasks, lose_response))
     pool.submit("key")
     pool.run(6.0)
     assert faults
@@ -339,7 +339,7 @@
         if name == "list_tasks" and pool.clock.monotonic_s() < 5.0:
             pool.clock.advance(15.0)
 
-    pool.add_controller(tasks=Hooked(pool.platform.tasks, pause))
+    pool.add_controller(tasks=HookedProxy(pool.platform.tasks, pause))
     pool.submit("key")
     pool.run(20.0)
     assert pool.states() == {"succeeded": 1}
--- a/src/sycamorecroft/maintenance/tests/test_controller.py
+++ b/src/sycamorecroft/maintenance/tests/test_controller.py
@@ -296,7 +296,7 @@
 def test_explanation_names_blocking_entry_host(fleet: MemoryFleet) -> None:
     """Guards against a waiting host whose explanation lacks the blocking entry host."""
     wave_id = _declare_wave(fleet)
-    fleet.entries["entry2"].is_frozen = True
+    fleet.entry_hosts["entry2"].is_frozen = True
     controller = fleet.maintenance("a")
     for _ in range(20):
         controller.step(fleet.clock.now())
@@ -328,7 +328,7 @@
     """Guards against returned hosts treated as failed, as the host list lags."""
     fleet.platform.hosts.lag_s = 10.0
     wave_id = _declare_wave(fleet, Selection(SelectionKind.POOL, ("a", "b")))
-    for entry in fleet.entries.values():
+    for entry in fleet.entry_hosts.values():
         entry.step()
     assert _run_until_finished(fleet, wave_id, fleet.maintenance("a")) < 4 * 40
 
