--- a/properties/seeds.py
+++ b/properties/seeds.py
@@ -1,4 +1,4 @@
-"""Seed of the randomised runs: printed, and set by ``SYCAMORECROFT_SEED``."""
+"""Seed of the randomised runs, set by ``SYCAMORECROFT_SEED`` and printed."""
 
 import os
 
@@ -6,7 +6,8 @@
 
 
 def run_seed() -> int:
-    """
+    """Prints the seed, so that a failed run can be repeated.
+
     :returns: the seed of this run.
     """
     seed = int(os.environ.get("SYCAMORECROFT_SEED", DEFAULT_SEED))
--- a/properties/test_flood.py
+++ b/properties/test_flood.py
@@ -1,4 +1,4 @@
-"""Overload of one queue by one team, next to one FIFO (targets of section 1.7)."""
+"""Overload of one queue by one team, compared with a FIFO (targets of section 1.7)."""
 
 import pytest
 
@@ -10,14 +10,14 @@
 
 @pytest.mark.parametrize("flooded", FLOODS)
 def test_flood_stops_no_other_team_class_or_queue(flooded):
-    # Guards against head-of-line blocking by a flood. The FIFO misses targets on the
-    # same arrivals, so the load is a real overload.
+    # Guards against head-of-line blocking by the flooding team. The FIFO must miss
+    # targets on the same arrivals, which shows that the load is an overload.
     scenario = Scenario(run_seed(), 2.0, 4.0, flooded, 0)
-    own = measure_runs(OwnedSite, scenario)
-    measured = list(figures(scenario, own, measure_runs(FifoSite, scenario)))
+    measured_runs = measure_runs(OwnedSite, scenario)
+    measured = list(figures(scenario, measured_runs, measure_runs(FifoSite, scenario)))
     missed = [figure for figure in measured if not is_target_met(figure, figure.value)]
     assert missed == []
     assert not all(is_target_met(figure, figure.baseline) for figure in measured)
     for figure in measured:
         if "other teams" in figure.name and "goodput" in figure.name:
-            assert figure.value > 0.1, "a class or team was stopped"
+            assert figure.value > 0.1, "an urgency class or team was starved"
--- a/properties/test_jobs_runs.py
+++ b/properties/test_jobs_runs.py
@@ -1,6 +1,6 @@
-"""Random runs over jobs of one pool with three controllers, with I9 asserted.
+"""Randomised runs of the jobs of one pool with three controllers, asserting I9.
 
-Reference: a naive executor without faults, in which each job that is not cancelled
+The reference is an executor without faults, in which each job that is not cancelled
 succeeds in one attempt.
 """
 
@@ -16,29 +16,30 @@
 from sycamorecroft.jobs.records import ENDED_STATES
 from sycamorecroft.store.interfaces import TaskSize, TaskState
 
-# 3 stands for the controller that holds the lease, since faults of others do little.
+# 3 stands for the controller that holds the lease, as faults of the others have little
+# effect.
 CONTROLLERS = st.sampled_from([0, 1, 2, 3, 3, 3, 3])
 WORKERS = st.sampled_from(["w0", "w1", "w2"])
 CALLS = ["start", "stop", "renew", "list_tasks", "checkpoint"]
 
 
-class Entry:
-    """A controller with its faults; a new process takes its place when replaced."""
+class FaultyController:
+    """Controller with injected faults; a replacement stands for a new process."""
 
     def __init__(self, pool):
         self.pool = pool
         self.tables = ScriptedTables(pool.platform.tables)
         self.pause_at = None
-        self.refusing = ()
+        self.refusing_workers = ()
         self.is_paused = False
-        self.running = self.new_controller()
+        self.current = self.new_controller()
 
     def new_controller(self):
-        running = self.pool.add_controller(
+        current = self.pool.add_controller(
             self.tables, Hooked(self.pool.platform.tasks, self.pause)
         )
-        self.pool.controllers.remove(running)
-        return running
+        self.pool.controllers.remove(current)
+        return current
 
     def pause(self, name, moment):
         if name != self.pause_at or moment is not Moment.BEFORE:
@@ -46,26 +47,26 @@
         self.pause_at = None
         self.is_paused = True
         tasks = self.pool.platform.tasks
-        tasks._is_worker = lambda worker: worker not in self.refusing
+        tasks._is_worker = lambda worker: worker not in self.refusing_workers
         self.pool.run_others(self, 15.0)
         tasks._is_worker = lambda worker: True
         self.is_paused = False
 
 
-class EntryPool(JobPool):
+class FaultyControllerPool(JobPool):
     def __init__(self):
         super().__init__(3, settings=JobSettings())
-        self.entries = [Entry(self) for _ in range(3)]
+        self.faulty_controllers = [FaultyController(self) for _ in range(3)]
 
     def run(self, duration_s):
         self.run_others(None, duration_s)
 
-    def run_others(self, stepping, duration_s):
+    def run_others(self, paused_controller, duration_s):
         end_s = self.clock.monotonic_s() + duration_s
         while self.clock.monotonic_s() < end_s:
-            for entry in self.entries:
-                if entry is not stepping and not entry.is_paused:
-                    entry.running.step(self.clock.monotonic_s())
+            for controller in self.faulty_controllers:
+                if controller is not paused_controller and not controller.is_paused:
+                    controller.current.step(self.clock.monotonic_s())
             self.check_tasks()
             self.clock.advance(0.5)
 
@@ -73,33 +74,33 @@
 class JobRuns(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.pool = EntryPool()
+        self.pool = FaultyControllerPool()
         self.job_ids = []
         self.cancelled = set()
-        self.has_failing = False
+        self.has_had_failing_worker = False
         self.pool.run(1.0)
 
-    def entry(self, position):
-        holders = [e for e in self.pool.entries if e.running.lease.is_held]
+    def controller_at(self, position):
+        holders = [c for c in self.pool.faulty_controllers if c.current.lease.is_held]
         if position == 3 and holders:
             return holders[0]
-        return self.pool.entries[position % 3]
+        return self.pool.faulty_controllers[position % 3]
 
-    def work(self):
-        """Gives the fault that was set something to break."""
+    def submit_and_run(self):
+        """Submits a job and runs the pool, so that an injected fault takes effect."""
         self.submit_one(4.0, 5, False)
         self.pool.run(1.5)
 
     @rule(
         processors_count=st.sampled_from([1.0, 4.0, 8.0]),
         duration_s=st.sampled_from([1, 5, 20]),
-        is_over=st.booleans(),
+        is_over_memory_limit=st.booleans(),
     )
-    def submit(self, processors_count, duration_s, is_over):
-        self.submit_one(processors_count, duration_s, is_over)
+    def submit(self, processors_count, duration_s, is_over_memory_limit):
+        self.submit_one(processors_count, duration_s, is_over_memory_limit)
 
-    def submit_one(self, processors_count, duration_s, is_over):
-        used_bytes = GIB * (3 if is_over else 1)
+    def submit_one(self, processors_count, duration_s, is_over_memory_limit):
+        used_bytes = GIB * (3 if is_over_memory_limit else 1)
         record = self.pool.submit(
             f"key-{len(self.job_ids)}",
             size=TaskSize(processors_count, 2 * GIB, 0),
@@ -124,38 +125,42 @@
 
     @rule(position=CONTROLLERS, is_paused=st.booleans())
     def pause(self, position, is_paused):
-        self.entry(position).is_paused = is_paused
-        self.work()
+        self.controller_at(position).is_paused = is_paused
+        self.submit_and_run()
 
     @rule(
         position=CONTROLLERS,
         call=st.sampled_from(CALLS),
-        refusing=st.sampled_from([(), ("w0",), ("w0", "w1")]),
+        refusing_workers=st.sampled_from([(), ("w0",), ("w0", "w1")]),
     )
-    def pause_within_a_step(self, position, call, refusing):
-        entry = self.entry(position)
-        entry.pause_at, entry.refusing = call, refusing
-        self.work()
+    def pause_within_step(self, position, call, refusing_workers):
+        controller = self.controller_at(position)
+        controller.pause_at, controller.refusing_workers = call, refusing_workers
+        self.submit_and_run()
 
     @rule(position=CONTROLLERS)
     def replace(self, position):
-        entry = self.entry(position)
-        entry.running = entry.new_controller()
-        self.work()
-
-    @rule(position=CONTROLLERS, ahead=st.integers(1, 6), takes_effect=st.booleans())
-    def fail_a_store_call(self, position, ahead, takes_effect):
-        tables = self.entry(position).tables
-        tables.fail_at = tables.calls_count + ahead
+        controller = self.controller_at(position)
+        controller.current = controller.new_controller()
+        self.submit_and_run()
+
+    @rule(
+        position=CONTROLLERS,
+        calls_ahead_count=st.integers(1, 6),
+        takes_effect=st.booleans(),
+    )
+    def fail_store_call(self, position, calls_ahead_count, takes_effect):
+        tables = self.controller_at(position).tables
+        tables.fail_at = tables.calls_count + calls_ahead_count
         tables.takes_effect = takes_effect
-        self.work()
-
-    @rule(position=CONTROLLERS, holds=st.booleans())
-    def hold_or_deliver_writes(self, position, holds):
-        tables = self.entry(position).tables
-        tables.holds_writes = holds
-        self.work()
-        if not holds:
+        self.submit_and_run()
+
+    @rule(position=CONTROLLERS, holds_writes=st.booleans())
+    def hold_or_deliver_writes(self, position, holds_writes):
+        tables = self.controller_at(position).tables
+        tables.holds_writes = holds_writes
+        self.submit_and_run()
+        if not holds_writes:
             tables.deliver()
 
     @rule(
@@ -169,7 +174,7 @@
             faults.lose_responses(count=count, operation=operation)
         else:
             faults.set_down(count=count, operation=operation)
-        self.work()
+        self.submit_and_run()
 
     @rule(worker=WORKERS, is_active=st.booleans())
     def drain(self, worker, is_active):
@@ -178,7 +183,7 @@
 
     @rule(worker=WORKERS, is_failing=st.booleans())
     def break_worker(self, worker, is_failing):
-        self.has_failing = True
+        self.has_had_failing_worker = True
         self.pool.platform.tasks.set_failing(worker, is_failing)
 
     @rule(worker=WORKERS)
@@ -191,18 +196,18 @@
 
     def teardown(self):
         try:
-            self.heal()
+            self.end_faults()
             self.pool.run(120.0 + 30.0 * len(self.job_ids))
             self.check_all_ended()
         finally:
             self.pool.close()
 
-    def heal(self):
-        for entry in self.pool.entries:
-            entry.pause_at, entry.is_paused = None, False
-            entry.tables.fail_at = 0
-            entry.tables.holds_writes = False
-            entry.tables.deliver()
+    def end_faults(self):
+        for controller in self.pool.faulty_controllers:
+            controller.pause_at, controller.is_paused = None, False
+            controller.tables.fail_at = 0
+            controller.tables.holds_writes = False
+            controller.tables.deliver()
         self.pool.platform.tasks.faults.clear()
         by_name = self.pool.workers.by_name
         for worker in by_name:
@@ -216,12 +221,12 @@
             for task in tasks
             if task.state is TaskState.SUCCEEDED
         }
-        found = {record["job_id"]: record for record in self.pool.jobs()}
-        assert found.keys() == set(self.job_ids)
-        for job_id, record in found.items():
+        records = {record["job_id"]: record for record in self.pool.jobs()}
+        assert records.keys() == set(self.job_ids)
+        for job_id, record in records.items():
             assert record["state"] in ENDED_STATES, record
             assert (record["state"] == "succeeded") == (job_id in succeeded)
-            if job_id not in self.cancelled and not self.has_failing:
+            if job_id not in self.cancelled and not self.has_had_failing_worker:
                 assert record["state"] == "succeeded"
 
 
--- a/properties/test_owner.py
+++ b/properties/test_owner.py
@@ -1,4 +1,4 @@
-"""Randomised run of the queue owner against a model with plain lists."""
+"""Randomised runs of the queue owner, compared with a reference model."""
 
 from random import Random
 
@@ -22,7 +22,7 @@
 )
 from sycamorecroft.routing.owner import QueueMembership, QueueOwner
 
-ENTRIES = ("e1", "e2", "e3")
+ENTRY_HOSTS = ("e1", "e2", "e3")
 HOSTS = ("w1", "w2", "w3", "w4")
 TEAMS = ("councils", "inspectors", "public")
 POOLS = ("rating", "spare")
@@ -31,7 +31,7 @@
 OPERATIONS = strategies.one_of(
     strategies.tuples(
         strategies.just("request"),
-        strategies.sampled_from(ENTRIES),
+        strategies.sampled_from(ENTRY_HOSTS),
         strategies.sampled_from(TEAMS),
         strategies.sampled_from(tuple(Urgency)),
         strategies.sampled_from((0.05, 0.5, 2.0, 10.0)),
@@ -40,30 +40,33 @@
     strategies.tuples(
         strategies.just("release"),
         INDEX,
-        strategies.sampled_from(ENTRIES),
+        strategies.sampled_from(ENTRY_HOSTS),
         strategies.sampled_from((None, 0.01, 0.2, 3.0)),
         strategies.integers(0, 9),
     ),
     strategies.tuples(strategies.just("finish"), INDEX),
     strategies.tuples(strategies.just("repeat"), INDEX),
     strategies.tuples(
-        strategies.just("held"), INDEX, strategies.sampled_from((*HOSTS, "w9"))
+        strategies.just("restore_grant"), INDEX, strategies.sampled_from((*HOSTS, "w9"))
     ),
     strategies.tuples(
         strategies.just("wait"), strategies.sampled_from((0.0, 0.01, 0.3, 1.0, 2.0))
     ),
     strategies.tuples(
-        strategies.just("host"),
+        strategies.just("change_host"),
         strategies.sampled_from(HOSTS),
         strategies.sampled_from((*POOLS, "rating")),
         strategies.sampled_from((HostState.ACTIVE, *HostState)),
         strategies.integers(0, 2),
     ),
     strategies.tuples(
-        strategies.just("members"), strategies.sets(strategies.sampled_from(ENTRIES))
+        strategies.just("change_membership"),
+        strategies.sets(strategies.sampled_from(ENTRY_HOSTS)),
     ),
-    strategies.tuples(strategies.just("service_pool"), strategies.sampled_from(POOLS)),
-    strategies.tuples(strategies.just("hand_over")),
+    strategies.tuples(
+        strategies.just("change_service_pool"), strategies.sampled_from(POOLS)
+    ),
+    strategies.tuples(strategies.just("transfer")),
 )
 
 
@@ -93,11 +96,11 @@
 
 
 class OwnerRun:
-    """Applies operations to the owner and to the model, and compares them."""
+    """Applies operations to the owner and to the reference model and compares them."""
 
     def __init__(self, random_seed):
         view = PoolView(1, {host: record(host) for host in HOSTS})
-        membership = QueueMembership(frozenset(ENTRIES), len(ENTRIES))
+        membership = QueueMembership(frozenset(ENTRY_HOSTS), len(ENTRY_HOSTS))
         self.now_s = 0.0
         self.requests = []
         self.version = 1
@@ -114,8 +117,8 @@
     def apply(self, operation):
         name, *arguments = operation
         decisions = getattr(self, name)(*arguments)
-        self.model.follow(decisions, HeldGrant)
-        self.model.check_settled(self.now_s)
+        self.model.apply_decisions(decisions, HeldGrant)
+        self.model.check_no_request_left(self.now_s)
         self.compare()
 
     def compare(self):
@@ -125,15 +128,21 @@
         assert status.granted_count == len(model.grants)
         hosts = {grant.host for grant in model.grants}
         assert self.owner.granted_hosts() == hosts
-        assert self.owner._slots.free_count == max(0, model.free_total())
+        assert self.owner._slots.free_count == max(0, model.free_count())
         assert self.owner._slots.occupied_counts(HOSTS) == {
             host: model.occupied(host) for host in HOSTS
         }
 
-    def request(self, entry, team, urgency, timeout_s, excluded):
+    def request(self, entry_host, team, urgency, timeout_s, excluded):
         ticket = f"t{len(self.requests)}"
         request = SlotRequest(
-            ticket, entry, "rating", team, urgency, self.now_s + timeout_s, excluded
+            ticket,
+            entry_host,
+            "rating",
+            team,
+            urgency,
+            self.now_s + timeout_s,
+            excluded,
         )
         self.requests.append(request)
         return self._send(request)
@@ -154,11 +163,13 @@
             )
         return decisions
 
-    def release(self, index, entry, service_time_s, failure):
+    def release(self, index, entry_host, service_time_s, failure):
         if not self.requests:
             return []
         ticket = self.requests[index % len(self.requests)].ticket
-        return self._release(SlotRelease(ticket, entry, service_time_s, failure == 0))
+        return self._release(
+            SlotRelease(ticket, entry_host, service_time_s, failure == 0)
+        )
 
     def finish(self, index):
         if not self.model.grants:
@@ -170,7 +181,7 @@
         self.model.release(release, self.now_s)
         return self.owner.release(release, self.now_s)
 
-    def held(self, index, host):
+    def restore_grant(self, index, host):
         if index % 2 and self.requests:
             request = self.requests[index % len(self.requests)]
         else:
@@ -187,41 +198,41 @@
         held = HeldGrant(
             request.ticket, request.requester, "rating", host, request.deadline_s
         )
-        self.model.held(held, self.now_s)
+        self.model.restore_grant(held, self.now_s)
         return self.owner.restore_grant(held, self.now_s)
 
     def wait(self, duration_s):
         self.now_s += duration_s
-        self.model.begin(self.now_s)
+        self.model.reclaim_grants(self.now_s)
         return self.owner.tick(self.now_s)
 
-    def host(self, host, pool, state, slots_count):
+    def change_host(self, host, pool, state, slots_count):
         view = self.model.view
         changed = {host: record(host, pool, state, slots_count)}
         self.model.view = PoolView(view.version + 1, {**view.hosts, **changed})
-        self.model.begin(self.now_s)
+        self.model.reclaim_grants(self.now_s)
         decisions = self.owner.view_changed(self.model.view, self.now_s)
         return decisions + self.owner.view_changed(view, self.now_s)
 
-    def members(self, reached):
-        membership = QueueMembership(frozenset(reached), len(ENTRIES))
+    def change_membership(self, reached):
+        membership = QueueMembership(frozenset(reached), len(ENTRY_HOSTS))
         self.model.membership_changed(membership, self.now_s)
         return self.owner.membership_changed(membership, self.now_s)
 
-    def service_pool(self, pool):
+    def change_service_pool(self, pool):
         self.version += 1
         self.model.pool = pool
-        self.model.begin(self.now_s)
+        self.model.reclaim_grants(self.now_s)
         changed = configuration(self.version, pool)
         return self.owner.configuration_changed(changed, self.now_s)
 
-    def hand_over(self):
+    def transfer(self):
         decisions = self.owner.transfer(self.now_s)
         assert len(decisions) == len(self.model.waiting)
         return decisions
 
-    def drain(self):
-        """All slots are free again once all deadlines have passed."""
+    def check_all_slots_freed(self):
+        """Checks that all slots are free once all deadlines have passed."""
         self.apply(("wait", 60.0))
         status = self.owner.status()
         assert (status.granted_count, sum(status.waiting_counts.values())) == (0, 0)
@@ -234,9 +245,10 @@
     strategies.integers(0, 2**32),
 )
 def test_owner_follows_the_model(operations, random_seed):
-    # Guards against grants beyond slots or share (I10), on draining hosts (I6), and
-    # against slots lost or counted twice by late, repeated or foreign messages.
+    # Guards against grants beyond the slots or the share (I10), grants on draining
+    # hosts (I6), and slots that are lost or counted twice because of late, repeated or
+    # misdirected messages.
     run = OwnerRun(random_seed)
     for operation in operations:
         run.apply(operation)
-    run.drain()
+    run.check_all_slots_freed()
--- a/properties/test_placement_cases.py
+++ b/properties/test_placement_cases.py
@@ -1,4 +1,4 @@
-"""Placement on random pools, against the rules and a naive first fit."""
+"""Placement of random jobs on random pools, checked against sizes and quotas."""
 
 from collections import Counter
 
@@ -36,17 +36,17 @@
 )
 
 
-def minus(free, size):
+def subtract(free, size):
     return TaskSize(*(a - b for a, b in zip(free, size, strict=True)))
 
 
 @seed(SEED)
 @settings(max_examples=300, deadline=None, database=None)
 @given(workers=workers_lists, queued=jobs_lists, quota_count=st.integers(0, 12))
-def test_placement_keeps_sizes_and_quotas_and_leaves_no_job_that_fits(
+def test_placement_keeps_sizes_and_quotas_and_places_each_job_that_fits(
     workers, queued, quota_count
 ):
-    """Guards against overcommitted workers, quotas passed, and jobs left waiting."""
+    """Guards against overcommitted workers, exceeded quotas and jobs left waiting."""
     state = PlacementInput(
         workers=workers,
         granted={},
@@ -64,7 +64,7 @@
     for job_id, worker in place(state):
         job = by_id.pop(job_id)
         assert fits(job.size, free[worker])
-        free[worker] = minus(free[worker], job.size)
+        free[worker] = subtract(free[worker], job.size)
         counts[job.team] += 1
     assert all(count <= quota_count for count in counts.values())
     for job in by_id.values():
--- a/properties/test_pools.py
+++ b/properties/test_pools.py
@@ -1,7 +1,7 @@
-"""Randomised run of moves, waves, failures, outages and lost responses.
+"""Randomised runs of moves, waves, failures, outages and lost responses.
 
-I1 and I2 are checked after each action. ``SYCAMORECROFT_SEED`` sets the seed,
-``SYCAMORECROFT_EXAMPLES`` the number of runs.
+The invariants I1 and I2 are checked after each action. ``SYCAMORECROFT_SEED`` sets the
+seed, ``SYCAMORECROFT_EXAMPLES`` the number of runs.
 """
 
 import os
@@ -31,19 +31,22 @@
     PoolShape("b", 4, 2, 0.25),
     PoolShape("c", 3, 2, 0.4),
 ]
-RECOVERY_S = 900
+RECOVERY_TIMEOUT_S = 900
 
 
 class Action(NamedTuple):
-    """An action by name with two numbers that choose its objects."""
+    """Name of a method of :class:`_FleetRun`, and numbers that select its objects."""
 
     name: str
     first: int
     second: int
 
 
-class _World:
-    """A fleet with two pool controllers and two maintenance controllers."""
+class _FleetRun:
+    """Fleet with two pool controllers and two maintenance controllers.
+
+    Its public methods other than the helpers in ``_NAMES`` are the actions.
+    """
 
     def __init__(self) -> None:
         self.fleet = MemoryFleet(POOLS, host_list_lag_s=3.0, reboot_s=15.0)
@@ -62,8 +65,8 @@
         ]
         self.planner = self.fleet.pool_controller("planner", self.tables[0])
         self.waves = WaveStore(self.fleet.connect(), self.fleet.clock)
-        self.gone_hosts: set[str] = set()
-        self.entries_count = len(self.fleet.entries)
+        self.failed_hosts: set[str] = set()
+        self.entry_hosts_count = len(self.fleet.entries)
         self.refusals: Counter[str] = Counter()
 
     def run(self, action: Action) -> None:
@@ -79,7 +82,7 @@
     def host(self, number: int) -> str:
         return self.fleet.workers[number % len(self.fleet.workers)].host
 
-    def entry(self, number: int) -> MemoryEntryHost:
+    def entry_host(self, number: int) -> MemoryEntryHost:
         entries = list(self.fleet.entries.values())
         return entries[number % len(entries)]
 
@@ -90,10 +93,10 @@
     def tick(self, first: int, second: int) -> None:
         self.fleet.tick(1.0 + first % 4)
 
-    def pass_a_lease_term(self, first: int, second: int) -> None:
+    def expire_leases(self, first: int, second: int) -> None:
         self.fleet.clock.advance(11.0)
 
-    def begin_move(self, first: int, second: int) -> None:
+    def start_move(self, first: int, second: int) -> None:
         target = POOLS[second % len(POOLS)].name
         self.registry(first).start_move(self.host(first // 2), target)
 
@@ -113,10 +116,10 @@
     def cancel_move(self, first: int, second: int) -> None:
         self.registry(first).cancel_move(self.host(second))
 
-    def take_out(self, first: int, second: int) -> None:
+    def take_host_out(self, first: int, second: int) -> None:
         self.registry(first).take_out_of_service(self.host(second))
 
-    def return_to_service(self, first: int, second: int) -> None:
+    def return_host_to_service(self, first: int, second: int) -> None:
         record = self.fleet.host_records().get(self.host(second))
         if record is not None and record["state"] == HostState.OUT:
             self.registry(first).return_to_service(self.host(second))
@@ -128,7 +131,7 @@
         worker = self.fleet.workers[second % len(self.fleet.workers)]
         registry.register_host(worker._replace(pool=pool))
 
-    def declare(self, first: int, second: int) -> None:
+    def declare_wave(self, first: int, second: int) -> None:
         worker = self.fleet.workers[second % len(self.fleet.workers)]
         kinds = {
             SelectionKind.RACK: worker.rack,
@@ -146,7 +149,7 @@
         if waves:
             changes[first % 3](waves[second % len(waves)].record["id"])
 
-    def maintain(self, first: int, second: int) -> None:
+    def run_maintenance(self, first: int, second: int) -> None:
         self.controllers[first % 2].step(self.fleet.clock.now())
 
     def restart_controller(self, first: int, second: int) -> None:
@@ -157,68 +160,73 @@
 
     def grant(self, first: int, second: int) -> None:
         for number in range(second % 3, len(self.fleet.workers), 3):
-            self.entry(first).grant(self.host(number))
+            self.entry_host(first).grant(self.host(number))
 
     def end_grants(self, first: int, second: int) -> None:
-        self.entry(first).grants.clear()
+        self.entry_host(first).grants.clear()
 
     def freeze(self, first: int, second: int) -> None:
-        self.entry(first).is_frozen = second % 2 == 0
+        self.entry_host(first).is_frozen = second % 2 == 0
 
-    def replace_entry(self, first: int, second: int) -> None:
-        old = self.entry(first)
+    def replace_entry_host(self, first: int, second: int) -> None:
+        old = self.entry_host(first)
         del self.fleet.entries[old.name]
-        self.entries_count += 1
-        name = f"entry{self.entries_count}"
+        self.entry_hosts_count += 1
+        name = f"entry{self.entry_hosts_count}"
         new = MemoryEntryHost(self.fleet.tables, self.fleet.clock, name, f"{name}/1")
         new.reader.adopt(old.reader.view)
         self.fleet.entries[name] = new
         self.declare_hosts()
 
     def fail_host(self, first: int, second: int) -> None:
-        self.gone_hosts.add(self.host(second))
+        self.failed_hosts.add(self.host(second))
         self.declare_hosts()
 
     def repair_hosts(self, first: int, second: int) -> None:
-        self.gone_hosts.clear()
+        self.failed_hosts.clear()
         self.declare_hosts()
 
     def lose_responses(self, first: int, second: int) -> None:
         self.tables[first % 2].faults.lose_responses(count=1 + second % 4)
 
-    def cut_controller(self, first: int, second: int) -> None:
+    def disconnect_controller(self, first: int, second: int) -> None:
         self.tables[first % 2].faults.set_down(count=1 + second % 4)
 
-    def cut_entry(self, first: int, second: int) -> None:
-        self.entry(first).tables.faults.set_down(duration_s=second * 2.0)
+    def disconnect_entry_host(self, first: int, second: int) -> None:
+        self.entry_host(first).tables.faults.set_down(duration_s=second * 2.0)
 
     def declare_hosts(self) -> None:
-        self.fleet.declare_hosts(without=self.gone_hosts)
+        self.fleet.declare_hosts(without=self.failed_hosts)
 
     def recover(self) -> None:
-        """Ends all faults, after which all moves and waves must end."""
-        for item in [*self.tables, *(e.tables for e in self.fleet.entries.values())]:
-            item.faults.clear()
-        for entry in self.fleet.entries.values():
-            entry.is_frozen = False
-            entry.grants.clear()
+        """Ends all faults and checks that all moves and waves end.
+
+        :raises AssertionError: if some have not ended after ``RECOVERY_TIMEOUT_S``.
+        """
+        for tables in [*self.tables, *(e.tables for e in self.fleet.entries.values())]:
+            tables.faults.clear()
+        for entry_host in self.fleet.entries.values():
+            entry_host.is_frozen = False
+            entry_host.grants.clear()
         self.repair_hosts(0, 0)
         for wave in self.waves.waves():
             if wave.record["state"] == WaveState.PAUSED:
                 self.waves.resume(wave.record["id"])
-        for _ in range(RECOVERY_S):
-            for name in ("tick", "maintain", "complete_moves"):
+        for _ in range(RECOVERY_TIMEOUT_S):
+            for name in ("tick", "run_maintenance", "complete_moves"):
                 self.run(Action(name, 0, 0))
             for number in range(len(self.fleet.workers)):
-                self.run(Action("return_to_service", 0, number))
-            if self._is_settled():
+                self.run(Action("return_host_to_service", 0, number))
+            if self._is_finished():
                 return
-        raise AssertionError(f"not settled after {RECOVERY_S} s: {self._unsettled()}")
+        raise AssertionError(
+            f"not finished after {RECOVERY_TIMEOUT_S} s: {self._unfinished()}"
+        )
 
-    def _is_settled(self) -> bool:
-        return not self._unsettled()
+    def _is_finished(self) -> bool:
+        return not self._unfinished()
 
-    def _unsettled(self) -> list[str]:
+    def _unfinished(self) -> list[str]:
         hosts = [
             host
             for host, record in self.fleet.host_records().items()
@@ -242,17 +250,18 @@
 
 _NAMES = [
     name
-    for name in vars(_World)
+    for name in vars(_FleetRun)
     if not name.startswith("_")
-    and name not in ("run", "host", "entry", "registry", "declare_hosts", "recover")
+    and name
+    not in ("run", "host", "entry_host", "registry", "declare_hosts", "recover")
 ]
-# Time and controllers act more often than faults, or nothing would ever complete;
-# moves and grants are frequent enough to meet in most runs.
+# Clock and controllers act more often than faults, as nothing would complete otherwise.
+# Moves and grants are frequent enough to coincide in most runs.
 _WEIGHTS = {
     "tick": 12,
-    "maintain": 5,
+    "run_maintenance": 5,
     "complete_moves": 6,
-    "begin_move": 6,
+    "start_move": 6,
     "grant": 3,
     "end_grants": 3,
     "freeze": 2,
@@ -277,13 +286,13 @@
 )
 @given(_ACTIONS)
 def _check_actions(actions: list[Action]) -> None:
-    world = _World()
+    fleet_run = _FleetRun()
     for action in actions:
-        world.run(action)
-    world.recover()
+        fleet_run.run(action)
+    fleet_run.recover()
 
 
 def test_moves_and_waves_keep_budget_and_single_pool() -> None:
-    """Guards against any order of events that breaks I1 or I2, or stops for good."""
+    """Guards against orders of events that break I1 or I2 or block moves or waves."""
     print(f"SYCAMORECROFT_SEED={SEED} SYCAMORECROFT_EXAMPLES={EXAMPLES_COUNT}")
     _check_actions()
--- a/properties/test_read_back.py
+++ b/properties/test_read_back.py
@@ -1,4 +1,4 @@
-"""Outcome of a transaction with a token under any sequence of faults."""
+"""Outcome of a transaction with a token under random sequences of faults."""
 
 import random
 from collections.abc import Sequence
@@ -26,8 +26,8 @@
 CHECK = Check("claims", "k", None)
 
 
-class _Fate(StrEnum):
-    """What happens to one call."""
+class _CallFault(StrEnum):
+    """What happens to a call."""
 
     ANSWERED = "answered"
     DOWN = "down"
@@ -37,7 +37,7 @@
 
 
 class _Event(StrEnum):
-    """What happens before one call."""
+    """What happens before a call."""
 
     NOTHING = "nothing"
     DELIVERY = "delivery"
@@ -46,11 +46,11 @@
 
 class _Step(NamedTuple):
     event: _Event
-    fate: _Fate
+    fault: _CallFault
 
 
 class _FatefulTables(MemoryTables):
-    """Applies one step to each call; all calls after the last step are answered."""
+    """Tables that apply one step to each call and answer all calls after the last."""
 
     def __init__(self, steps: Sequence[_Step]) -> None:
         super().__init__()
@@ -59,39 +59,39 @@
         self.commits_count = 0
 
     def read(self, table: str, key: str, *, purpose: StorePurpose) -> Row | None:
-        if self._next_fate() is not _Fate.ANSWERED:
+        if self._next_fault() is not _CallFault.ANSWERED:
             raise StoreUnavailableError("no answer")
         return super().read(table, key, purpose=purpose)
 
     def transact(
         self, checks: Sequence[Check], puts: Sequence[Put], *, purpose: StorePurpose
     ) -> int:
-        fate = self._next_fate()
-        if fate is _Fate.ANSWERED:
+        fault = self._next_fault()
+        if fault is _CallFault.ANSWERED:
             return self._commit(checks, puts)
-        if fate is _Fate.DOWN:
+        if fault is _CallFault.DOWN:
             raise StoreUnavailableError("down")
-        if fate is _Fate.DELAYED:
+        if fault is _CallFault.DELAYED:
             self._delayed.append((checks, puts))
-        if fate is _Fate.LOST_RESPONSE:
+        if fault is _CallFault.LOST_RESPONSE:
             self._try_commit(checks, puts)
         raise StoreOutcomeUnknownError("no answer")
 
     def deliver(self) -> None:
-        """Applies delayed transactions, as a network that held them back."""
+        """Applies the transactions that the network has delayed."""
         for checks, puts in self._delayed:
             self._try_commit(checks, puts)
         self._delayed.clear()
 
-    def _next_fate(self) -> _Fate:
+    def _next_fault(self) -> _CallFault:
         if not self._steps:
-            return _Fate.ANSWERED
+            return _CallFault.ANSWERED
         step = self._steps.pop(0)
         if step.event is _Event.DELIVERY:
             self.deliver()
         elif step.event is _Event.OTHER_WRITER:
             self._try_commit([CHECK], [Put("claims", "k", b'{"token":"other"}')])
-        return step.fate
+        return step.fault
 
     def _try_commit(self, checks: Sequence[Check], puts: Sequence[Put]) -> None:
         try:
@@ -124,11 +124,12 @@
         return type(error)
 
 
+# The seed is derived from the name and the source of the test.
 @settings(max_examples=2000, derandomize=True, database=None, deadline=None)
 @given(
     strategies.lists(
         strategies.builds(
-            _Step, strategies.sampled_from(_Event), strategies.sampled_from(_Fate)
+            _Step, strategies.sampled_from(_Event), strategies.sampled_from(_CallFault)
         ),
         max_size=6,
     )
--- a/properties/test_requester.py
+++ b/properties/test_requester.py
@@ -1,4 +1,4 @@
-"""Random runs of a requester against owners whose messages are lost and late."""
+"""Randomised runs of a requester whose messages to and from owners get lost or late."""
 
 from hypothesis import given, seed, settings, strategies as st
 
@@ -21,7 +21,9 @@
 
 ACTIONS = st.lists(
     st.tuples(
-        st.sampled_from(("acquire", "grant", "repeat", "release", "live", "tick")),
+        st.sampled_from(
+            ("acquire", "grant", "repeat", "release", "change_live_owners", "tick")
+        ),
         st.integers(0, 50),
     ),
     min_size=20,
@@ -29,8 +31,8 @@
 )
 
 
-class Site:
-    """A requester and owners that keep plain sets of tickets."""
+class OwnerSimulation:
+    """Requester, and queue owners that keep plain sets of tickets."""
 
     def __init__(self):
         self.now_s = 0.0
@@ -41,7 +43,7 @@
         self.granted = {owner: set() for owner in OWNERS}
         self.completed = {}
         self.in_use = set()
-        self.count = 0
+        self.tickets_count = 0
 
     def apply(self, decisions):
         for decision in decisions:
@@ -55,7 +57,7 @@
                     self.granted[owner] |= {grant.ticket for grant in held}
                     self.waiting[owner] -= {grant.ticket for grant in held}
                 case CompleteTicket(ticket, result):
-                    assert ticket not in self.completed, "a ticket ended twice"
+                    assert ticket not in self.completed, "a ticket was completed twice"
                     self.completed[ticket] = result
                     if isinstance(result, SlotGrant):
                         self.in_use.add(ticket)
@@ -65,9 +67,9 @@
         getattr(self, name)(number)
 
     def acquire(self, number):
-        self.count += 1
+        self.tickets_count += 1
         demand = SlotDemand("rating", "t", Urgency.NORMAL, DEADLINE_S, ())
-        ticket = f"rating/{self.count}"
+        ticket = f"rating/{self.tickets_count}"
         self.apply(self.requester.acquire(ticket, demand, self.now_s))
 
     def grant(self, number):
@@ -92,9 +94,11 @@
             self.in_use.discard(ticket)
             self.apply(self.requester.release(ticket, 0.1, False))
 
-    def live(self, number):
-        live = [o for bit, o in enumerate(OWNERS) if number >> bit & 1]
-        self.apply(self.requester.set_live_entry_hosts(live or OWNERS, self.now_s))
+    def change_live_owners(self, number):
+        live_owners = [o for bit, o in enumerate(OWNERS) if number >> bit & 1]
+        self.apply(
+            self.requester.set_live_entry_hosts(live_owners or OWNERS, self.now_s)
+        )
 
     def tick(self, number):
         self.apply(self.requester.tick(self.now_s))
@@ -103,16 +107,16 @@
 @seed(run_seed())
 @settings(max_examples=EXAMPLES_COUNT, deadline=None)
 @given(ACTIONS)
-def test_each_ticket_ends_once_and_no_owner_keeps_a_grant(actions):
-    """Guards against a request on two slots, and against slots that stay occupied."""
-    site = Site()
+def test_each_ticket_completes_once_and_no_owner_keeps_a_grant(actions):
+    """Guards against requests that occupy two slots, and slots that are never freed."""
+    simulation = OwnerSimulation()
     for name, number in actions:
-        site.act(name, number)
-    while site.in_use:
-        site.act("release", 0)
-    site.now_s = DEADLINE_S + 1
-    site.tick(0)
-    assert len(site.completed) == site.count
-    assert site.requester.granted_hosts() == frozenset()
-    assert site.granted == {owner: set() for owner in OWNERS}
-    assert site.waiting == {owner: set() for owner in OWNERS}
+        simulation.act(name, number)
+    while simulation.in_use:
+        simulation.act("release", 0)
+    simulation.now_s = DEADLINE_S + 1
+    simulation.tick(0)
+    assert len(simulation.completed) == simulation.tickets_count
+    assert simulation.requester.granted_hosts() == frozenset()
+    assert simulation.granted == {owner: set() for owner in OWNERS}
+    assert simulation.waiting == {owner: set() for owner in OWNERS}
--- a/properties/test_service_runs.py
+++ b/properties/test_service_runs.py
@@ -1,7 +1,8 @@
-"""Random runs of a service under takeovers, partitions and faults of the store.
+"""Randomised runs of a service under takeovers, partitions and store faults.
 
-Checked at each step, from what the workers see: no task runs on two live workers at
-once, none starts after an end that is stored, none before an earlier step has ended.
+Each step checks, on the workers, that no task runs on two live workers at the same
+time, that none starts after its outcome is stored, and that none starts before an
+earlier step has ended.
 """
 
 import random
@@ -23,27 +24,27 @@
 FORMER_LEASE_S = 9.0
 
 
-class _RandomRun:
-    """A site with one current owner and former ones that don't know it yet."""
+class _ServiceRun:
+    """Site with the owner of a service, and former owners unaware of the takeover."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.site = Site(workers_count=4)
         self.owners = [ServiceDriver(self.site, 1)]
         self.jobs_count = 0
-        self.done: set[str] = set()
+        self.done_tasks: set[str] = set()
 
     def step(self) -> None:
-        self._disturb()
+        self._inject_event()
         for owner in self.owners:
             if owner is self.owners[-1] or self.random.random() < 0.3:
                 owner.step()
                 self.check()
-        self._end_runs()
+        self._finish_runs()
         self.site.advance(0.25)
         self.check()
 
-    def _disturb(self) -> None:
+    def _inject_event(self) -> None:
         draw = self.random.random()
         worker = self.site.workers[f"w{self.random.randrange(4)}"]
         if draw < 0.25:
@@ -82,7 +83,7 @@
         self.site.submit(f"j{self.jobs_count}", *steps, queue=queue)
         self.jobs_count += 1
 
-    def _end_runs(self) -> None:
+    def _finish_runs(self) -> None:
         for worker in self.site.workers.values():
             for task in list(worker.running):
                 if self.random.random() < 0.2:
@@ -95,8 +96,12 @@
         running = [
             task for worker in self.site.workers.values() for task in worker.running
         ]
-        assert len(running) == len(set(running)), f"runs twice: {sorted(running)}"
-        assert not self.done & set(running), f"runs again: {self.done & set(running)}"
+        assert len(running) == len(set(running)), (
+            f"a task runs twice: {sorted(running)}"
+        )
+        assert not self.done_tasks & set(running), (
+            f"run after they were done: {self.done_tasks & set(running)}"
+        )
         self._record_done()
         for task in running:
             job_id, _, step, _ = task.split(".")
@@ -109,7 +114,7 @@
             for stored in self._stored(f"j{number}"):
                 if stored.is_done:
                     name = f"j{number}.0.{stored.step}.{stored.index}"
-                    self.done.add(name)
+                    self.done_tasks.add(name)
 
     def _stored(self, job_id: str):
         row = self.site.tables.row(PROGRESS, job_id, SERVICE)
@@ -121,8 +126,8 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_no_task_runs_twice_or_too_early(seed):
-    """Guards against double runs at the edges between owners, workers and the store."""
-    run = _RandomRun(seed)
+    """Guards against double or early runs when owners, workers or the store fail."""
+    run = _ServiceRun(seed)
     for _ in range(STEPS_COUNT):
         run.step()
     assert run.jobs_count > 10
--- a/properties/test_version_gate.py
+++ b/properties/test_version_gate.py
@@ -1,4 +1,4 @@
-"""Randomised run of the version gates of a fleet: no entry host's version falls (I8).
+"""Randomised runs of the version gates of a fleet: no version in force decreases (I8).
 
 ``SYCAMORECROFT_SEED`` sets the seed and ``SYCAMORECROFT_EXAMPLES`` the number of runs.
 """
@@ -25,43 +25,43 @@
 
 
 class LateSnapshot(NamedTuple):
-    """A snapshot on its way to one incarnation of a daemon."""
+    """Snapshot in flight to one incarnation of a daemon."""
 
     requester: str
     incarnation: int
     snapshot: PeerSnapshot
 
 
-class Fleet:
-    """Gates of a fleet with a store, peers, and claims and snapshots that lag."""
+class GatedFleet:
+    """Version gates of a fleet whose store, claims and snapshots may lag or fail."""
 
-    def __init__(self, entries_count, random):
+    def __init__(self, entry_hosts_count, random):
         self.random = random
-        self.entries = [f"entry-{n}" for n in range(entries_count)]
+        self.entry_hosts = [f"entry-{n}" for n in range(entry_hosts_count)]
         self.gates = {}
         self.incarnations = defaultdict(int)
         self.versions_in_force = defaultdict(int)
         self.claims = []
         self.snapshots = []
-        self.cut_from_store = set()
-        self.cut_links = set()
-        self.contents_count = 0
+        self.disconnected_from_store = set()
+        self.disconnected_links = set()
+        self.accounts_count = 0
         self.store = ConfigurationStore(MemoryTables(), ManualClock())
         self.publish()
-        for entry in self.entries:
-            self.restart(entry)
-            self.poll(entry)
+        for entry_host in self.entry_hosts:
+            self.restart(entry_host)
+            self.poll(entry_host)
 
-    def some(self):
-        most = self.random.randint(1, len(self.entries))
-        count = self.random.randint(1, most)
-        return self.random.sample(self.entries, count)
+    def random_entry_hosts(self):
+        max_count = self.random.randint(1, len(self.entry_hosts))
+        count = self.random.randint(1, max_count)
+        return self.random.sample(self.entry_hosts, count)
 
     def publish(self):
         base = self.store.head_version()
         for _ in range(self.random.randint(1, 2)):
-            self.contents_count += 1
-            name = f"account-{self.contents_count}"
+            self.accounts_count += 1
+            name = f"account-{self.accounts_count}"
             account = AccountConfiguration(name, ("here",), 0.9, {})
             content = FleetConfiguration(0, {name: account}, {}, {})
             try:
@@ -69,50 +69,53 @@
             except ConfigurationConflictError:
                 assert self.store.head_version() == base + 1
 
-    def poll_one(self):
-        self.poll(self.random.choice(self.entries))
+    def poll_random(self):
+        self.poll(self.random.choice(self.entry_hosts))
 
-    def poll(self, entry):
-        if entry not in self.cut_from_store:
-            self.gates[entry].record_head(self.store.read_head())
-            self.observe(entry)
+    def poll(self, entry_host):
+        if entry_host not in self.disconnected_from_store:
+            self.gates[entry_host].record_head(self.store.read_head())
+            self.check_version(entry_host)
 
-    def gossip_some(self):
-        sender = self.random.choice(self.entries)
-        for receiver in self.some():
-            if frozenset((sender, receiver)) not in self.cut_links:
+    def gossip_claim(self):
+        sender = self.random.choice(self.entry_hosts)
+        for receiver in self.random_entry_hosts():
+            if frozenset((sender, receiver)) not in self.disconnected_links:
                 gate = self.gates[sender]
                 claim = (sender, gate.claimed_version, gate.in_force_version)
                 self.claims.append(claim)
                 self.gates[receiver].record_claim(*claim)
-                self.observe(receiver)
+                self.check_version(receiver)
 
-    def late_claim_arrives(self):
-        # A claim may arrive late, twice, or by way of other daemons.
+    def deliver_late_claim(self):
+        # A claim may arrive late, twice, or through other daemons.
         if self.claims:
             claim = self.random.choice(self.claims[-RECENT_CLAIMS_COUNT:])
-            for entry in self.some():
-                self.gates[entry].record_claim(*claim)
-                self.observe(entry)
-
-    def ask_one(self):
-        self.ask(self.random.choice(self.entries))
-
-    def ask(self, entry):
-        for peer in self.entries:
-            if entry == peer or frozenset((entry, peer)) in self.cut_links:
+            for entry_host in self.random_entry_hosts():
+                self.gates[entry_host].record_claim(*claim)
+                self.check_version(entry_host)
+
+    def request_random_snapshots(self):
+        self.request_snapshots(self.random.choice(self.entry_hosts))
+
+    def request_snapshots(self, entry_host):
+        for peer in self.entry_hosts:
+            if (
+                entry_host == peer
+                or frozenset((entry_host, peer)) in self.disconnected_links
+            ):
                 continue
             gate = self.gates[peer]
             snapshot = PeerSnapshot(
                 peer, gate.claimed_version, gate.staged, gate.in_force_version
             )
-            late = LateSnapshot(entry, self.incarnations[entry], snapshot)
+            late = LateSnapshot(entry_host, self.incarnations[entry_host], snapshot)
             if self.random.random() < 0.8:
                 self.deliver(late)
             else:
                 self.snapshots.append(late)
 
-    def late_snapshot_arrives(self):
+    def deliver_late_snapshot(self):
         if self.snapshots:
             index = self.random.randrange(len(self.snapshots))
             self.deliver(self.snapshots.pop(index))
@@ -120,90 +123,96 @@
     def deliver(self, late):
         if self.incarnations[late.requester] == late.incarnation:
             self.gates[late.requester].record_snapshot(late.snapshot)
-            self.observe(late.requester)
+            self.check_version(late.requester)
 
-    def restart_one(self):
-        self.restart(self.random.choice(self.entries))
+    def restart_random(self):
+        self.restart(self.random.choice(self.entry_hosts))
 
-    def start_one(self):
-        # Whether the store or the peers answer first is left to chance.
-        waiting = [name for name in self.entries if not self.gates[name].is_ready]
+    def start_random(self):
+        # The store or the peers answer first, at random.
+        waiting = [name for name in self.entry_hosts if not self.gates[name].is_ready]
         if waiting:
-            start = self.random.choice((self.poll, self.ask, self.ask))
+            start = self.random.choice(
+                (self.poll, self.request_snapshots, self.request_snapshots)
+            )
             start(self.random.choice(waiting))
 
-    def restart_some(self):
-        for entry in self.some():
-            self.restart(entry)
+    def restart_several(self):
+        for entry_host in self.random_entry_hosts():
+            self.restart(entry_host)
 
-    def restart(self, entry):
-        self.incarnations[entry] += 1
-        self.gates[entry] = VersionGate(entry, self.entries)
+    def restart(self, entry_host):
+        self.incarnations[entry_host] += 1
+        self.gates[entry_host] = VersionGate(entry_host, self.entry_hosts)
 
-    def cut_store(self):
-        self.cut_from_store = set(self.some())
+    def disconnect_store(self):
+        self.disconnected_from_store = set(self.random_entry_hosts())
 
-    def cut_store_after_publish(self):
-        # Few daemons learn of the version before most lose the store.
+    def disconnect_store_after_publish(self):
+        # Only a few daemons learn of the version before most lose the store.
         self.publish()
-        self.poll(self.random.choice(self.entries))
-        self.gossip_some()
-        self.cut_from_store = set(self.entries) - {self.random.choice(self.entries)}
+        self.poll(self.random.choice(self.entry_hosts))
+        self.gossip_claim()
+        self.disconnected_from_store = set(self.entry_hosts) - {
+            self.random.choice(self.entry_hosts)
+        }
 
-    def restore_store(self):
-        self.cut_from_store = set()
+    def reconnect_store(self):
+        self.disconnected_from_store = set()
 
-    def cut_network(self):
-        inside = set(self.some())
-        outside = set(self.entries) - inside
-        self.cut_links = {frozenset((a, b)) for a in inside for b in outside}
+    def partition_network(self):
+        partition = set(self.random_entry_hosts())
+        others = set(self.entry_hosts) - partition
+        self.disconnected_links = {frozenset((a, b)) for a in partition for b in others}
 
-    def restore_network(self):
-        self.cut_links = set()
+    def heal_network(self):
+        self.disconnected_links = set()
 
-    def observe(self, entry):
-        gate = self.gates[entry]
+    def check_version(self, entry_host):
+        gate = self.gates[entry_host]
         if gate.in_force is not None:
-            before = self.versions_in_force[entry]
+            before = self.versions_in_force[entry_host]
             check_version_never_falls(before, gate.in_force_version)
-            self.versions_in_force[entry] = gate.in_force_version
-
-    def heal(self):
-        self.restore_store()
-        self.restore_network()
-        for entry in self.entries:
-            self.poll(entry)
-        for sender in self.entries:
+            self.versions_in_force[entry_host] = gate.in_force_version
+
+    def end_faults(self):
+        self.reconnect_store()
+        self.heal_network()
+        for entry_host in self.entry_hosts:
+            self.poll(entry_host)
+        for sender in self.entry_hosts:
             gate = self.gates[sender]
-            for receiver in self.entries:
+            for receiver in self.entry_hosts:
                 self.gates[receiver].record_claim(sender, gate.claimed_version)
-                self.observe(receiver)
+                self.check_version(receiver)
 
 
-# Actions and their mean weights, by which trials with parts of the rule removed were
-# found most often. Many polls, publishes or restarts at once leave little to fall from.
+# Actions and their mean weights: those that most often detected gates with parts of the
+# rule removed. Many polls, publishes or restarts at the same time leave few versions
+# from which a gate could fall back.
 ACTIONS = {
-    Fleet.publish: 0.1,
-    Fleet.poll_one: 0.5,
-    Fleet.gossip_some: 6.0,
-    Fleet.late_claim_arrives: 2.0,
-    Fleet.ask_one: 0.05,
-    Fleet.late_snapshot_arrives: 0.2,
-    Fleet.restart_one: 1.0,
-    Fleet.restart_some: 0.02,
-    Fleet.start_one: 4.0,
-    Fleet.cut_store: 0.7,
-    Fleet.cut_store_after_publish: 0.3,
-    Fleet.restore_store: 0.05,
-    Fleet.cut_network: 0.1,
-    Fleet.restore_network: 0.5,
+    GatedFleet.publish: 0.1,
+    GatedFleet.poll_random: 0.5,
+    GatedFleet.gossip_claim: 6.0,
+    GatedFleet.deliver_late_claim: 2.0,
+    GatedFleet.request_random_snapshots: 0.05,
+    GatedFleet.deliver_late_snapshot: 0.2,
+    GatedFleet.restart_random: 1.0,
+    GatedFleet.restart_several: 0.02,
+    GatedFleet.start_random: 4.0,
+    GatedFleet.disconnect_store: 0.7,
+    GatedFleet.disconnect_store_after_publish: 0.3,
+    GatedFleet.reconnect_store: 0.05,
+    GatedFleet.partition_network: 0.1,
+    GatedFleet.heal_network: 0.5,
 }
 
 
-def run_fleet(entries_count, run_seed):
+def run_fleet(entry_hosts_count, run_seed):
     random = Random(run_seed)
-    fleet = Fleet(entries_count, random)
-    # Weights differ between runs, so that some have few cuts and some few restarts.
+    fleet = GatedFleet(entry_hosts_count, random)
+    # Weights differ between runs, so that some have few partitions and some few
+    # restarts.
     weights = [random.uniform(0.1, 1.9) * weight for weight in ACTIONS.values()]
     for action in random.choices(list(ACTIONS), weights, k=STEPS_COUNT):
         action(fleet)
@@ -218,11 +227,11 @@
     phases=[Phase.generate],
     suppress_health_check=list(HealthCheck),
 )
-@given(entries_count=st.sampled_from([3, 5, 9]), run_seed=st.integers(0, 2**32))
-def test_no_version_falls_in_randomised_runs(entries_count, run_seed):
-    print(f"SYCAMORECROFT_SEED={SEED} entries={entries_count} run_seed={run_seed}")
-    fleet = run_fleet(entries_count, run_seed)
-    # Guards against a gate that is safe because it puts nothing in force.
-    fleet.heal()
+@given(entry_hosts_count=st.sampled_from([3, 5, 9]), run_seed=st.integers(0, 2**32))
+def test_no_version_in_force_decreases_in_randomised_runs(entry_hosts_count, run_seed):
+    print(f"SYCAMORECROFT_SEED={SEED} entries={entry_hosts_count} run_seed={run_seed}")
+    fleet = run_fleet(entry_hosts_count, run_seed)
+    # Guards against a gate that is safe only because it puts no version in force.
+    fleet.end_faults()
     versions = {gate.in_force_version for gate in fleet.gates.values()}
     assert versions == {fleet.store.head_version()}
