--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -1,4 +1,4 @@
-"""Failures guarded against: a ledger or a fault that misleads a test of routing."""
+"""Tests of the backend stand-in, whose ledger and faults the routing tests rely on."""
 
 import hashlib
 import threading
@@ -37,7 +37,7 @@
         url = f"http://{self.fleet.addresses()['control']}{path}"
         return self._pool.request(method, url, **arguments)
 
-    def flags(self) -> list[tuple[bool, bool]]:
+    def ledger_flags(self) -> list[tuple[bool, bool]]:
         ledger = self.server.ledger()
         return [(entry["completed"], entry["answered"]) for entry in ledger]
 
@@ -99,33 +99,33 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "flags"),
+    ("kind", "ledger_flags"),
     [
         (BackendFaultKind.RESET_BEFORE_READ, []),
         (BackendFaultKind.RESET_AFTER_READ, [(True, False)]),
         (BackendFaultKind.TRUNCATED, [(True, False)]),
     ],
 )
-def test_broken_answer_and_what_the_ledger_says(start, kind, flags):
+def test_ledger_records_broken_answers(start, kind, ledger_flags):
     client = start()
     client.server.set_fault(BackendFault(kind, count=1))
     with pytest.raises(ProtocolError):
         client.post(b"x" * 1_000_000)
-    assert client.flags() == flags
+    assert client.ledger_flags() == ledger_flags
     assert client.post().status == 200
 
 
-def test_wrong_answers_have_the_right_form(start):
+def test_wrong_answers_are_well_formed(start):
     client = start()
-    right = client.post().data
+    expected = client.post().data
     client.server.set_fault(BackendFault(BackendFaultKind.WRONG_BODY, count=1))
     wrong = client.post().data
-    assert wrong != right and len(wrong) == len(right)
+    assert wrong != expected and len(wrong) == len(expected)
     client.server.set_fault(BackendFault(BackendFaultKind.WRONG_ID, count=1))
     assert client.post().headers[REQUEST_ID_HEADER] != "r1"
 
 
-def test_refused_server_comes_back_at_its_port(start):
+def test_refusing_server_returns_at_its_port(start):
     client = start()
     assert client.post().status == 200
     fault = {"server": "w0", "kind": "refuse"}
@@ -148,7 +148,7 @@
             break
         except HTTPError:
             time.sleep(0.02)
-    assert client.flags() == [(True, True)] * 2
+    assert client.ledger_flags() == [(True, True)] * 2
 
 
 def test_frozen_server_completes_after_it_resumes(start):
@@ -159,7 +159,7 @@
         client.server.set_fault(BackendFault(BackendFaultKind.FROZEN))
         time.sleep(0.3)
         assert not pending.done()
-        assert client.flags() in ([], [(False, False)])
+        assert client.ledger_flags() in ([], [(False, False)])
         client.server.clear_faults()
         assert pending.result().status == 200
 
@@ -169,8 +169,10 @@
     client.server.set_fault(BackendFault(BackendFaultKind.SLOW, count=1, delay_s=0.2))
     client.post()
     client.post()
-    spans = [entry["end_s"] - entry["start_s"] for entry in client.server.ledger()]
-    assert spans[0] >= 0.2 > spans[1]
+    durations_s = [
+        entry["end_s"] - entry["start_s"] for entry in client.server.ledger()
+    ]
+    assert durations_s[0] >= 0.2 > durations_s[1]
 
 
 def test_service_times_depend_on_the_seed_only():
@@ -178,7 +180,9 @@
         service_times_s={"rating": 0.05}, spread_ratio=0.5, seed=3
     )
     first, second = BackendServer("a", settings), BackendServer("b", settings)
-    times = [first.service_time_s("rating", str(number)) for number in range(200)]
-    again = [second.service_time_s("rating", str(number)) for number in range(200)]
-    assert times == again
-    assert 0.04 < sorted(times)[100] < 0.0625
+    times_s = [first.service_time_s("rating", str(number)) for number in range(200)]
+    repeated_times_s = [
+        second.service_time_s("rating", str(number)) for number in range(200)
+    ]
+    assert times_s == repeated_times_s
+    assert 0.04 < sorted(times_s)[100] < 0.0625
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Failures guarded against: load that can't be repeated, or a summary that flatters."""
+"""Tests of the load generator: reproducible load and truthful summaries."""
 
 import socket
 import threading
@@ -61,7 +61,7 @@
 def test_arrival_rate_is_as_planned():
     phase = PhaseBody(name="long", duration_s=200.0, flows=[RATING])
     count = len(plan_arrivals(_plan(phases=[phase])))
-    # Four standard deviations of a Poisson count with mean 20,000.
+    # Four standard deviations of a Poisson count with a mean of 20,000.
     assert abs(count - 20_000) < 4 * 20_000**0.5
 
 
@@ -73,7 +73,7 @@
         ({"concurrency_count": 401}, "from 1 to 400"),
     ],
 )
-def test_plan_beyond_the_bounds_is_refused(changes, message):
+def test_plan_outside_the_limits_is_refused(changes, message):
     with pytest.raises(ValueError, match=message):
         read_plan(msgspec.json.encode(_plan(**changes)))
 
@@ -109,7 +109,7 @@
     }
 
 
-def test_requests_beyond_cap_and_deadline_are_not_sent(fleet):
+def test_requests_beyond_concurrency_and_deadline_are_not_sent(fleet):
     fleet.servers["w0"].set_fault(BackendFault(BackendFaultKind.SLOW, delay_s=0.3))
     plan = _plan(fleet.addresses()["w0"], concurrency_count=2, deadline_s=0.5)
     summary = run_plan(plan)["by_service"]
--- a/tests/test_memory_platform.py
+++ b/tests/test_memory_platform.py
@@ -1,4 +1,4 @@
-"""Failures guarded against: a stand-in kinder than the platform it stands for."""
+"""Tests that the platform stand-in is as strict as the platform it stands for."""
 
 import pytest
 
@@ -38,7 +38,7 @@
     return [host.status for host in platform.hosts.list_hosts().hosts]
 
 
-def test_host_list_lags_and_a_rebooted_host_comes_back(platform, clock):
+def test_host_list_lags_and_rebooted_host_returns(platform, clock):
     platform.control.reboot("w1", operation_id="o1")
     assert _statuses(platform) == [HostStatus.LIVE]
     clock.advance(5)
@@ -52,7 +52,7 @@
     assert _statuses(platform) == [HostStatus.LIVE]
 
 
-def test_removed_host_stays_listed_for_the_lag(platform, clock):
+def test_removed_host_stays_in_the_list_for_the_lag(platform, clock):
     platform.hosts.declare([])
     clock.advance(4.9)
     assert len(_statuses(platform)) == 1
@@ -62,7 +62,7 @@
         platform.control.phase("w1")
 
 
-def test_lease_lapses_unless_renewed(platform, clock):
+def test_lease_expires_unless_renewed(platform, clock):
     platform.tasks.start(START)
     clock.advance(9)
     platform.tasks.renew("t1", epoch=2, lease_s=10)
--- a/tests/test_memory_tables.py
+++ b/tests/test_memory_tables.py
@@ -1,4 +1,4 @@
-"""Failures guarded against: partial transactions, lost deletes, faults that leak."""
+"""Tests of the table stand-in: atomic transactions, deletes and isolated faults."""
 
 import threading
 
--- a/tests/test_node_path.py
+++ b/tests/test_node_path.py
@@ -1,4 +1,4 @@
-"""The whole path of a node over HTTP: submission, runs, states, takeover and stop."""
+"""End-to-end tests of nodes over HTTP: submission, runs, states, takeover and stop."""
 
 import json
 import socket
@@ -38,9 +38,9 @@
         {"count": 1, "cpu": 500, "mem-mb": 10, "estimate-ms": 50, "after": [0]},
     ],
 }
-WAIT_S = 15.0
-# Counts that callers ask for may be this old.
-PENDING_AGE_S = 2.0
+WAIT_TIMEOUT_S = 15.0
+# Maximum age of the counts that callers get.
+PENDING_MAX_AGE_S = 2.0
 
 
 def _free_port() -> int:
@@ -49,17 +49,17 @@
         return listener.getsockname()[1]
 
 
-class _Site:
+class _NodeSite:
     def __init__(self) -> None:
         self.store = StoreServer(_free_port())
-        self.machines = MachineServer(_free_port())
+        self.host_control = MachineServer(_free_port())
         self.workers = {f"i-{n}": WorkerServer(_free_port()) for n in range(2)}
         self.nodes: dict[str, Node] = {}
         self.addresses: dict[str, str] = {}
         self.http = urllib3.PoolManager(retries=False, timeout=5.0)
         self.store.put("op", "config", FLEET)
         for name, worker in self.workers.items():
-            entry = {
+            registration = {
                 "service": "rating",
                 "addr": worker.address,
                 "state": "ready",
@@ -67,7 +67,7 @@
                 "labels": ["a", "r1"],
                 "born": 1,
             }
-            self.store.put("servers", name, entry)
+            self.store.put("servers", name, registration)
         self.store.put("servers", "i-bad", {"service": 5})
 
     def start_node(self, name: str) -> None:
@@ -79,7 +79,9 @@
             ready_address=addresses[1],
             metrics_address=addresses[2],
             store=StoreSettings(address=self.store.address, row_limit_bytes=65536),
-            machines=HostControlSettings(address=self.machines.address, lease_ms=3000),
+            machines=HostControlSettings(
+                address=self.host_control.address, lease_ms=3000
+            ),
             bounds=PlatformLimitSettings(
                 grace_s=6, lease_max_ms=10000, status_s=120, upkeep_s=2
             ),
@@ -101,29 +103,29 @@
         )
         return response.status, json.loads(response.data)
 
-    def wait_for(self, condition, timeout_s: float = WAIT_S) -> None:
+    def wait_for(self, condition, timeout_s: float = WAIT_TIMEOUT_S) -> None:
         end_s = time.monotonic() + timeout_s
         while not condition():
-            assert time.monotonic() < end_s, "condition not met in time"
+            assert time.monotonic() < end_s, "condition not met before the deadline"
             time.sleep(0.02)
 
     def stop(self) -> None:
         for node in self.nodes.values():
             node.stop()
-        for server in (self.store, self.machines, *self.workers.values()):
+        for server in (self.store, self.host_control, *self.workers.values()):
             server.stop()
 
 
 @pytest.fixture
 def site():
-    found = _Site()
-    found.start_node("h1")
-    yield found
-    found.stop()
+    node_site = _NodeSite()
+    node_site.start_node("h1")
+    yield node_site
+    node_site.stop()
 
 
-def test_job_goes_through_and_its_state_is_told(site):
-    """Guards against a path that breaks between any two of its parts."""
+def test_job_completes_and_reports_its_state(site):
+    """Guards against components that fail to work together on the path of a job."""
     path = "/a/00112233445566aa"
     assert site.call("h1", "POST", path, JOB)[0] == 200
     assert site.call("h1", "POST", path, JOB)[0] == 200
@@ -132,29 +134,31 @@
     started = [s.task for w in site.workers.values() for s in w.worker.started]
     assert len(started) == len(set(started)) == 4
     no_pending = (200, {"pending": 0})
-    site.wait_for(lambda: site.call("h1", "GET", "/a/") == no_pending, PENDING_AGE_S)
+    site.wait_for(
+        lambda: site.call("h1", "GET", "/a/") == no_pending, PENDING_MAX_AGE_S
+    )
     assert site.call("h1", "GET", "/a/ffffffffffffffff")[0] == 410
     assert site.call("h1", "POST", "/a/ffffffffffffffff", {"phases": 1})[0] == 400
 
 
-def test_service_is_handed_over_at_a_planned_stop(site):
-    """Guards against jobs that stand still after their owner was stopped."""
+def test_planned_stop_transfers_services(site):
+    """Guards against jobs that make no progress after their owner was stopped."""
     site.start_node("h2")
     site.wait_for(lambda: any(node.supervisor.owned for node in site.nodes.values()))
     owners = [n for n, node in site.nodes.items() if node.supervisor.owned]
-    leaving = owners[0]
-    staying = next(name for name in site.nodes if name != leaving)
+    stopped_node = owners[0]
+    remaining_node = next(name for name in site.nodes if name != stopped_node)
     path = "/a/00112233445566bb"
-    assert site.call(staying, "POST", path, JOB)[0] == 200
-    assert site.nodes.pop(leaving).stop()
+    assert site.call(remaining_node, "POST", path, JOB)[0] == 200
+    assert site.nodes.pop(stopped_node).stop()
     complete = (200, {"state": "complete"})
-    site.wait_for(lambda: site.call(staying, "GET", path) == complete)
+    site.wait_for(lambda: site.call(remaining_node, "GET", path) == complete)
     started = [s.task for w in site.workers.values() for s in w.worker.started]
     assert len(started) == len(set(started)) == 4
 
 
-def test_dark_store_is_refused_and_survived(site):
-    """Guards against a node that doesn't come back after the store has."""
+def test_submissions_are_refused_during_a_store_outage(site):
+    """Guards against a node that does not recover after a store outage."""
     site.wait_for(lambda: bool(site.nodes["h1"].supervisor.owned))
     site.store.tables.is_dark = True
     path = "/a/00112233445566cc"
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests that the pages in docs/ are reachable and show commands that exist."""
+"""Tests that the pages in docs/ are linked and document existing commands."""
 
 import re
 import shlex
@@ -15,24 +15,24 @@
 LINK = re.compile(r"\]\(([^)#:]+\.md)\)")
 
 
-def test_every_page_is_reached_from_the_first_one():
-    """Guards against pages that a reader can't find."""
-    reached = {DOCS / "README.md"}
-    waiting = list(reached)
-    while waiting:
-        page = waiting.pop()
+def test_every_page_is_linked_from_the_first_one():
+    """Guards against pages that no other page links to."""
+    linked_pages = {DOCS / "README.md"}
+    unread_pages = list(linked_pages)
+    while unread_pages:
+        page = unread_pages.pop()
         for target in LINK.findall(page.read_text(encoding="utf-8")):
-            linked = (page.parent / target).resolve()
-            assert linked.is_file(), f"{page} links {target}"
-            if linked not in reached:
-                reached.add(linked)
-                waiting.append(linked)
-    assert set(PAGES) <= reached
+            target_page = (page.parent / target).resolve()
+            assert target_page.is_file(), f"{page} links a missing page: {target}"
+            if target_page not in linked_pages:
+                linked_pages.add(target_page)
+                unread_pages.append(target_page)
+    assert set(PAGES) <= linked_pages
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
-def test_shown_commands_are_those_of_the_tool(page):
-    """Guards against pages that lag behind the tool."""
+def test_documented_commands_are_accepted_by_the_tool(page):
+    """Guards against documented commands that the tool no longer accepts."""
     app = create_app()
     for line in COMMAND.findall(page.read_text(encoding="utf-8")):
         tokens = shlex.split(line)
@@ -43,17 +43,21 @@
         app.parse_args(tokens, exit_on_error=False, print_error=False)
 
 
-def test_exit_codes_are_all_on_the_page():
-    """Guards against an exit code that a program meets without its meaning."""
+def test_all_exit_codes_are_documented():
+    """Guards against exit codes without documentation."""
     text = (DOCS / "operators" / "README.md").read_text(encoding="utf-8")
     codes = re.findall(r"^\| (\d+) \|", text, re.MULTILINE)
     assert [int(code) for code in codes] == [int(code) for code in ExitCode]
 
 
-def test_status_names_existing_pages():
-    """Guards against advice that leads nowhere."""
+def test_status_refers_to_existing_pages():
+    """Guards against references of `status` to pages that do not exist."""
     source = (ROOT / "src/sycamorecroft/cli/fleet_status.py").read_text("utf-8")
-    named = set(re.findall(r"docs/operators/([a-z-]+)\.md", source))
-    named |= set(re.findall(r'^    "[a-z_]+": "([a-z-]+)",$', source, re.MULTILINE))
-    assert len(named) >= 6
-    assert not [name for name in named if not (DOCS / f"operators/{name}.md").is_file()]
+    page_names = set(re.findall(r"docs/operators/([a-z-]+)\.md", source))
+    page_names |= set(
+        re.findall(r'^    "[a-z_]+": "([a-z-]+)",$', source, re.MULTILINE)
+    )
+    assert len(page_names) >= 6
+    assert not [
+        name for name in page_names if not (DOCS / f"operators/{name}.md").is_file()
+    ]
--- a/tests/test_platform_service.py
+++ b/tests/test_platform_service.py
@@ -1,4 +1,4 @@
-"""Failures guarded against: faults and settings that don't reach the stand-in."""
+"""Tests that faults and settings set over HTTP reach the platform stand-in."""
 
 import threading
 from collections.abc import Callable, Iterator
@@ -99,7 +99,7 @@
     assert calls == [{"purpose": "jobs", "operation": "read", "count": 1}]
 
 
-def test_tasks_end_as_told(connection, call):
+def test_tasks_end_in_the_requested_state(connection, call):
     call("POST", "/hosts", json={"hosts": [host_body(WORKER)]})
     tasks = HttpTaskService(connection)
     start = TaskStart("t1", "w1", "jobs/p", 1, 9.0, TaskSize(1, 8, 0), "", None)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the fault soak, and the seeds that once failed."""
+"""Short seeded runs of the fault soak, including seeds that failed before."""
 
 import pytest
 
@@ -10,25 +10,25 @@
 DURATION_S = 8.0
 SEEDS = (
     1,
-    # A new owner gave up runs before it had asked their worker, and started tasks again
-    # whose ends the worker still listed.
+    # Failed when a new owner abandoned runs before it had asked their worker, and
+    # restarted tasks whose outcomes the worker still listed.
     2,
-    # The observer took a job as refused whose second submission was under way: it was
-    # stored and started before it was answered.
+    # Failed when the observer counted a job as refused while its second submission was
+    # in flight: it was stored and started before that submission was answered.
     64,
 )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_under_faults_from_outside(seed):
-    """Guards against promises that break between real processes."""
+def test_guarantees_hold_under_external_faults(seed):
+    """Guards against guarantees that do not hold between real processes."""
     result = run(seed, DURATION_S)
     assert not result.broken, f"logs of the nodes: {result.folder}"
     assert result.accepted_count
 
 
-def test_start_is_judged_when_each_submission_of_its_job_was_answered():
-    """Guards against a refusal that was not true, and against a false alarm of one."""
+def test_start_is_checked_once_all_submissions_are_answered():
+    """Guards against false refusals that go unnoticed, and against false alarms."""
     worker = MemoryWorker()
     observer = Observer([worker])
     observer.begin_submission("j1")
@@ -42,8 +42,8 @@
     assert observer.broken == ["task j1.0.0.0 of a refused job was started"]
 
 
-def test_start_of_an_accepted_or_doubtful_job_is_allowed():
-    """Guards against an observer that takes any refusal as the last word."""
+def test_start_of_an_accepted_or_undecided_job_is_allowed():
+    """Guards against an observer that treats each refusal as final."""
     worker = MemoryWorker()
     observer = Observer([worker])
     for job_id, status in (("j1", 200), ("j2", 504)):
