--- a/features/bad_input.feature
+++ b/features/bad_input.feature
@@ -1,4 +1,4 @@
-Feature: Bad input gets a clear error, and the daemon goes on
+Feature: Invalid input gets a clear error, and the daemon keeps running
 
   Scenario Outline: A request with <fault>
     When a caller sends a request with <fault>
@@ -30,7 +30,7 @@
 
     Examples:
       | fault                         | status | value             | allowed         |
-      | text that is no JSON          | 400    | JSON              | PublishBody     |
+      | text that is not JSON         | 400    | JSON              | PublishBody     |
       | an unknown key                | 400    | covers            | unknown field   |
       | a wrong type                  | 400    | int               | base_version    |
       | an unknown selection          | 400    | 'building'        | kind            |
@@ -41,4 +41,4 @@
   Scenario: A body that ends before its length
     When a caller closes its connection in the middle of a body
     Then the same daemon serves a rating
-    And the cut request is not in the ledger
+    And the truncated request is not in the ledger
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,7 +1,7 @@
-"""Starts one whole site for each feature and stops it at the end.
+"""Starts one whole site before each feature and stops it afterwards.
 
-Tags of a feature: ``@service_time_ms=50`` and ``@reboot_s=4`` set up its stand-ins. The
-environment variable ``SYCAMORECROFT_PORT_SHIFT`` moves all ports.
+Tags of a feature, such as ``@service_time_ms=50`` and ``@reboot_s=4``, configure its
+stand-ins. The environment variable ``SYCAMORECROFT_PORT_SHIFT`` is added to all ports.
 """
 
 import os
@@ -17,7 +17,7 @@
 from standins.site import Site  # noqa: E402
 
 DEFAULT_PORT_SHIFT = 2600
-# Shorter than in production, so that a stop is seen within a scenario.
+# Shorter than in production, so that a planned stop ends within a scenario.
 DRAIN_GRACE_S = 1.0
 
 
@@ -42,20 +42,23 @@
         settings={"drain_grace_s": DRAIN_GRACE_S},
     )
     _require_free_ports(context.site)
-    # Before the start: a start that fails half way must leave no process.
+    # Registered before the start, as a failed start must leave no process behind.
     context.add_cleanup(context.site.stop)
     context.site.start()
 
 
 def _require_free_ports(site: Site) -> None:
-    """Fails if another site has the ports: its daemons would answer for this one."""
+    """Fails if a port is in use: daemons of another site would answer for this one.
+
+    :raises RuntimeError: names the first address that is in use.
+    """
     addresses = [site.platform_address, site.backend_control_address]
-    addresses += [site.http_address(entry) for entry in site.entries]
+    addresses += [site.http_address(entry_host) for entry_host in site.entries]
     for address in addresses:
         host, _, port = address.rpartition(":")
-        with socket.socket() as probe:
-            if probe.connect_ex((host, int(port))) == 0:
-                message = f"{address} is in use; set SYCAMORECROFT_PORT_SHIFT"
+        with socket.socket() as client:
+            if client.connect_ex((host, int(port))) == 0:
+                message = f"{address} is in use; set another SYCAMORECROFT_PORT_SHIFT"
                 raise RuntimeError(message)
 
 
@@ -68,13 +71,13 @@
 
 def after_scenario(context, scenario):
     site = context.site
-    for entry in site.entries:
-        if entry not in context.killed:
-            site.signal(entry, signal.SIGCONT)
+    for entry_host in site.entries:
+        if entry_host not in context.killed:
+            site.signal(entry_host, signal.SIGCONT)
     site.clear_faults()
-    for entry in context.killed:
-        site.kill(entry)
-        site.start_entry(entry)
+    for entry_host in context.killed:
+        site.kill(entry_host)
+        site.start_entry(entry_host)
     if context.killed:
         site.wait_for_listeners()
         site.wait_until_ready()
@@ -86,8 +89,8 @@
 
 
 def _print_errors(site: Site) -> None:
-    """Prints what the daemons logged at error level."""
-    for entry in site.entries:
-        lines = site.logs(entry).splitlines()
+    """Prints the last 5 error lines of each daemon's log."""
+    for entry_host in site.entries:
+        lines = site.logs(entry_host).splitlines()
         for line in [line for line in lines if '"level": "error"' in line][-5:]:
-            print(f"{entry}: {line[:2000]}")
+            print(f"{entry_host}: {line[:2000]}")
--- a/features/steps/bad_input.py
+++ b/features/steps/bad_input.py
@@ -1,4 +1,4 @@
-"""Steps of input that is not valid."""
+"""Steps that send invalid input."""
 
 import contextlib
 import socket
@@ -10,25 +10,26 @@
 
 from features.steps.common import rating, require, send_one
 from features.support.callers import RUN
-from features.support.judgement import ledger
+from features.support.ledger_checks import read_ledger
 from sycamorecroft.configuration.codec import encode_configuration
 
 REQUESTS = "/v1/services/{}/requests"
 RATINGS = REQUESTS.format("rating")
-OWN = "Sycamorecroft-"
+PREFIX = "Sycamorecroft-"
 
-# Method, path, headers and body of each request.
-CALLS = {
+# Method, path, headers and body by fault.
+INVALID_REQUESTS = {
     "an unknown service": ("POST", REQUESTS.format("paving"), {}, b"x"),
     "an unknown path": ("POST", "/v1/covers", {}, b"x"),
     "a method that is not allowed": ("PUT", RATINGS, {}, b"x"),
-    "another account": ("POST", RATINGS, {f"{OWN}Account": "nobody"}, b"x"),
-    "an unknown team": ("POST", RATINGS, {f"{OWN}Team": "strangers"}, b"x"),
-    "an unknown urgency": ("POST", RATINGS, {f"{OWN}Urgency": "at once"}, b"x"),
-    "a negative timeout": ("POST", RATINGS, {f"{OWN}Timeout-Ms": "-5"}, b"x"),
-    "a timeout of 30 digits": ("POST", RATINGS, {f"{OWN}Timeout-Ms": "9" * 30}, b"x"),
+    "another account": ("POST", RATINGS, {f"{PREFIX}Account": "nobody"}, b"x"),
+    "an unknown team": ("POST", RATINGS, {f"{PREFIX}Team": "strangers"}, b"x"),
+    "an unknown urgency": ("POST", RATINGS, {f"{PREFIX}Urgency": "at once"}, b"x"),
+    "a negative timeout": ("POST", RATINGS, {f"{PREFIX}Timeout-Ms": "-5"}, b"x"),
+    "a timeout of 30 digits": (
+        "POST", RATINGS, {f"{PREFIX}Timeout-Ms": "9" * 30}, b"x"),
     "an unknown repeatable value": (
-        "POST", RATINGS, {f"{OWN}Repeatable": "perhaps"}, b"x"),
+        "POST", RATINGS, {f"{PREFIX}Repeatable": "perhaps"}, b"x"),
     "a missing idempotency key": ("POST", REQUESTS.format("dispatch"), {}, b"x"),
     "a key that is too long": (
         "POST", REQUESTS.format("dispatch"), {"Idempotency-Key": "x" * 129}, b"x"),
@@ -40,7 +41,7 @@
 }  # fmt: skip
 
 
-def _deadline():
+def _now():
     return datetime.now(UTC).isoformat()
 
 
@@ -51,7 +52,7 @@
 
 def _maintenance(**changes):
     body = {"idempotency_key": "k", "kind": "hosts", "names": ["rating-1"]}
-    return {**body, "deadline": _deadline(), **changes}
+    return {**body, "deadline": _now(), **changes}
 
 
 def _operator_call(site, fault):
@@ -61,7 +62,7 @@
     publish = ("PUT", "/v1/operator/configuration")
     declare = ("POST", "/v1/operator/maintenance")
     calls = {
-        "text that is no JSON": (*publish, b"{covers"),
+        "text that is not JSON": (*publish, b"{covers"),
         "an unknown key": (*publish, _publication(site, covers=1)),
         "a wrong type": (*publish, _publication(site, base_version="one")),
         "an unknown selection": (*declare, _maintenance(kind="building")),
@@ -77,8 +78,8 @@
 
 
 def _call(context, method, path, headers, body):
-    context.entry = context.site.entries[0]
-    address = context.site.http_address(context.entry)
+    context.entry_host = context.site.entries[0]
+    address = context.site.http_address(context.entry_host)
     connection = HTTPConnection(address, timeout=20)
     # The daemon may answer before it has read the whole body.
     with contextlib.suppress(BrokenPipeError, ConnectionResetError):
@@ -89,20 +90,20 @@
 
 
 @when("a caller sends a request with {fault}")
-def _send_bad(context, fault):
-    _call(context, *CALLS[fault])
+def _send_invalid_request(context, fault):
+    _call(context, *INVALID_REQUESTS[fault])
 
 
 @when("an operator sends {fault}")
-def _operate_badly(context, fault):
+def _send_invalid_operator_call(context, fault):
     method, path, body = _operator_call(context.site, fault)
     _call(context, method, path, {}, body)
 
 
 @when("a caller closes its connection in the middle of a body")
-def _cut_body(context):
-    context.entry = context.site.entries[0]
-    host, _, port = context.site.http_address(context.entry).rpartition(":")
+def _close_within_body(context):
+    context.entry_host = context.site.entries[0]
+    host, _, port = context.site.http_address(context.entry_host).rpartition(":")
     with socket.create_connection((host, int(port))) as connection:
         head = (
             f"POST {RATINGS} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 1000\r\n\r\n"
@@ -111,19 +112,21 @@
 
 
 @then("the status is {status:d}, and the message names {value} and {allowed}")
-def _clear_error(context, status, value, allowed):
+def _error_names(context, status, value, allowed):
     require(context.status == status, (context.status, context.message[:500]))
     missing = [text for text in (value, allowed) if text not in context.message]
     require(not missing, f"not named: {missing} in {context.message[:500]}")
 
 
 @then("the same daemon serves a rating")
-def _goes_on(context):
-    sent = send_one(context, rating("after bad input", context.entry))
+def _serves_rating(context):
+    sent = send_one(context, rating("after invalid input", context.entry_host))
     require(sent.outcome == RUN, sent)
 
 
-@then("the cut request is not in the ledger")
-def _not_run(context):
-    runs = [entry for entry in ledger(context.site) if entry["service"] == "rating"]
+@then("the truncated request is not in the ledger")
+def _truncated_not_run(context):
+    runs = [
+        entry for entry in read_ledger(context.site) if entry["service"] == "rating"
+    ]
     require(len(runs) == 1, runs)
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -1,4 +1,4 @@
-"""Steps that several features share."""
+"""Steps and helpers shared by several features."""
 
 import signal
 import time
@@ -7,22 +7,28 @@
 import msgspec
 from behave import given, then, when
 
-from features.support.callers import CUT_OFF, REFUSED, RUN, Callers, Order, send
-from features.support.judgement import contradictions, counts, ledger, slots_in_use
+from features.support.callers import CUT_OFF, REFUSED, RUN, CallerRequest, Callers, send
+from features.support.ledger_checks import (
+    contradictions,
+    outcome_counts,
+    read_ledger,
+    slots_in_use,
+)
 from standins.site import wait_until
 from sycamorecroft.membership import owner_of
 
 SLOTS_COUNT = 8
 
 
-def require(holds, message):
+def require(condition, message):
     """Fails the step with ``message``."""
-    assert holds, message
+    assert condition, message
 
 
 def unique_name(context):
     """
-    :returns: a short name of the scenario; claims of former ones stay in the store.
+    :returns: a short name that is unique to the scenario. Keys must differ between
+        scenarios, as the claims of earlier ones stay in the store.
     """
     return f"{zlib.crc32(context.scenario.name.encode()):08x}"
 
@@ -34,26 +40,26 @@
     require(answer.status == 200, answer.body)
 
 
-def rating(name, entry):
-    return Order("rating", f"reading {name}".encode(), entry)
+def rating(name, entry_host):
+    return CallerRequest("rating", f"reading {name}".encode(), entry_host)
 
 
-def dispatch(name, entry):
-    return Order("dispatch", f"order {name}".encode(), entry, key=name)
+def dispatch(name, entry_host):
+    return CallerRequest("dispatch", f"order {name}".encode(), entry_host, key=name)
 
 
-def owner_and_more(site, service, count):
+def owner_and_others(site, service, count):
     """
     :returns: the owner of a queue first, then ``count`` other entry hosts.
     """
     owner = owner_of(service, site.entries)
-    others = [entry for entry in site.entries if entry != owner]
+    others = [entry_host for entry_host in site.entries if entry_host != owner]
     return [owner, *others[:count]]
 
 
-def start_callers(context, name, count, make_order, **options):
-    """Callers end with the scenario at the latest."""
-    callers = Callers(context.site, name, count, make_order, **options)
+def start_callers(context, name, count, make_request, **options):
+    """Starts callers that are stopped with the scenario at the latest."""
+    callers = Callers(context.site, name, count, make_request, **options)
     context.add_cleanup(callers.stop)
     return callers
 
@@ -75,12 +81,12 @@
 
 
 @when("the store is down for {seconds:d} s")
-def _store_down(context, seconds):
+def _store_unavailable(context, seconds):
     context.site.set_fault({"kind": "down", "duration_s": seconds})
 
 
 @when("the store answers again")
-def _store_up(context):
+def _restore_store(context):
     context.site.clear_faults()
 
 
@@ -94,29 +100,29 @@
     )
 
 
-def _store_age_s(site, entry):
-    store = site.status(entry)["store"]
-    is_open = store["contact_age_s"] is None or store["state"] != "closed"
-    return float("inf") if is_open else store["contact_age_s"]
+def _store_age_s(site, entry_host):
+    store = site.status(entry_host)["store"]
+    is_disconnected = store["contact_age_s"] is None or store["state"] != "closed"
+    return float("inf") if is_disconnected else store["contact_age_s"]
 
 
 @then("no request of a caller was cut off, refused or left without its own answer")
 def _all_answered(context):
-    sents = context.callers.stop()
-    bad = [s for s in sents if s.outcome != RUN and s.outcome != REFUSED]
-    require(len(sents) > 100, f"only {len(sents)} requests were sent")
-    require(not bad, f"{counts(sents)}; {bad[:5]}")
-    # The load balancer is allowed to find a listener closed, if it moves on.
-    refused = [s for s in sents if s.outcome == REFUSED]
+    sent_requests = context.callers.stop()
+    failed = [s for s in sent_requests if s.outcome != RUN and s.outcome != REFUSED]
+    require(len(sent_requests) > 100, f"only {len(sent_requests)} requests were sent")
+    require(not failed, f"{outcome_counts(sent_requests)}; {failed[:5]}")
+    # A load balancer could retry a refused connection elsewhere, but none is expected.
+    refused = [s for s in sent_requests if s.outcome == REFUSED]
     require(not refused, f"{len(refused)} connections were refused: {refused[:3]}")
-    found = contradictions(sents, ledger(context.site))
-    require(not found, found[:5])
+    contradicted = contradictions(sent_requests, read_ledger(context.site))
+    require(not contradicted, contradicted[:5])
 
 
-@then("what callers were told agrees with the ledger")
-def _agrees(context):
-    found = contradictions(context.sent, ledger(context.site))
-    require(not found, f"{found[:5]}; {counts(context.sent)}")
+@then("the reported outcomes agree with the ledger")
+def _outcomes_agree(context):
+    contradicted = contradictions(context.sent, read_ledger(context.site))
+    require(not contradicted, f"{contradicted[:5]}; {outcome_counts(context.sent)}")
 
 
 @then("all slots return to 0 in use")
@@ -124,40 +130,42 @@
     wait_until(lambda: not slots_in_use(context.site), "slots are free", 10)
 
 
-def cut_off_elsewhere(sents, entries):
+def cut_off_elsewhere(sent_requests, excluded_entry_hosts):
     """
-    :returns: requests without a response through entry hosts other than ``entries``.
+    :returns: requests without a response that were not sent through
+        ``excluded_entry_hosts``.
     """
     return [
         sent
-        for sent in sents
-        if sent.outcome in (CUT_OFF, REFUSED) and sent.order.entry not in entries
+        for sent in sent_requests
+        if sent.outcome in (CUT_OFF, REFUSED)
+        and sent.request.entry_host not in excluded_entry_hosts
     ]
 
 
-def restart(context, entries):
-    """Starts daemons again and waits until all are ready."""
-    for entry in entries:
-        context.site.start_entry(entry)
-        context.killed.discard(entry)
+def restart(context, entry_hosts):
+    """Starts stopped daemons and waits until all are ready."""
+    for entry_host in entry_hosts:
+        context.site.start_entry(entry_host)
+        context.killed.discard(entry_host)
     context.site.wait_for_listeners()
     context.site.wait_until_ready()
 
 
-def kill(context, entry):
-    context.killed.add(entry)
-    context.site.signal(entry, signal.SIGKILL)
+def kill(context, entry_host):
+    context.killed.add(entry_host)
+    context.site.signal(entry_host, signal.SIGKILL)
 
 
-def freeze(context, entry):
-    context.site.signal(entry, signal.SIGSTOP)
+def freeze(context, entry_host):
+    context.site.signal(entry_host, signal.SIGSTOP)
 
 
-def resume(context, entry):
-    context.site.signal(entry, signal.SIGCONT)
+def resume(context, entry_host):
+    context.site.signal(entry_host, signal.SIGCONT)
 
 
-def send_one(context, order):
-    sent = send(context.site, order)
+def send_one(context, request):
+    sent = send(context.site, request)
     context.sent.append(sent)
     return sent
--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -1,4 +1,4 @@
-"""Steps of configuration changes under failures."""
+"""Steps that publish configurations under failures."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -17,12 +17,12 @@
 START_LIMIT_S = 20.0
 
 
-def in_force_version(site, entry):
+def in_force_version(site, entry_host):
     """
     :returns: version in force, 0 if the daemon doesn't answer or isn't ready.
     """
     try:
-        return site.status(entry)["in_force_version"]
+        return site.status(entry_host)["in_force_version"]
     except HTTPError:
         return 0
 
@@ -32,7 +32,7 @@
     return msgspec.json.decode(answer.json()["value"])["version"]
 
 
-def publish(site, author, base_version, entry):
+def publish(site, author, base_version, entry_host):
     """Publishes a configuration whose content differs by its author and base."""
     configuration = site.compile()
     service = configuration.services["backoffice"]
@@ -47,19 +47,21 @@
         "author": author,
         "configuration": msgspec.Raw(encode_configuration(changed)),
     }
-    return site.operate(entry, "PUT", "configuration", body)
+    return site.operate(entry_host, "PUT", "configuration", body)
 
 
 def _watch(context):
     if not hasattr(context, "watchers"):
         site = context.site
-        context.watchers = [VersionWatcher(site, entry) for entry in site.entries]
+        context.watchers = [
+            VersionWatcher(site, entry_host) for entry_host in site.entries
+        ]
         for watcher in context.watchers:
             context.add_cleanup(watcher.stop)
             watcher.start()
 
 
-@when("{first} and {second} publish at once on the same base")
+@when("{first} and {second} publish concurrently on the same base")
 def _publish_both(context, first, second):
     site = context.site
     base_version = head_version(site)
@@ -67,8 +69,8 @@
     authors = (first, second)
     with ThreadPoolExecutor(2) as executor:
         futures = [
-            executor.submit(publish, site, author, base_version, entry)
-            for author, entry in zip(authors, site.entries, strict=False)
+            executor.submit(publish, site, author, base_version, entry_host)
+            for author, entry_host in zip(authors, site.entries, strict=False)
         ]
         answers = [future.result() for future in futures]
     context.published_s = time.monotonic()
@@ -85,28 +87,28 @@
     context.published_s = time.monotonic()
 
 
-@when("{entry} is frozen")
-def _freeze(context, entry):
+@when("{entry_host} is frozen")
+def _freeze(context, entry_host):
     _watch(context)
-    freeze(context, entry)
+    freeze(context, entry_host)
 
 
-@when("{entry} wakes up")
-def _wake(context, entry):
-    resume(context, entry)
+@when("{entry_host} resumes")
+def _resume(context, entry_host):
+    resume(context, entry_host)
 
 
-@when("the store is down until it is told to answer")
-def _down(context):
+@when("the store is down until the fault is cleared")
+def _store_down_until_cleared(context):
     context.site.set_fault({"kind": "down"})
 
 
-@when("{entry} is killed and started again")
-def _replace(context, entry):
-    kill(context, entry)
-    context.site.kill(entry)
-    context.site.start_entry(entry)
-    context.killed.discard(entry)
+@when("{entry_host} is killed and started again")
+def _kill_and_start(context, entry_host):
+    kill(context, entry_host)
+    context.site.kill(entry_host)
+    context.site.start_entry(entry_host)
+    context.killed.discard(entry_host)
 
 
 @when("the version is in force on all entry hosts")
@@ -125,42 +127,48 @@
 @then("the version is in force on all entry hosts within 10 s")
 def _in_force(context):
     site, version = context.site, context.version
-    left_s = context.published_s + IN_FORCE_LIMIT_S - time.monotonic()
+    remaining_s = context.published_s + IN_FORCE_LIMIT_S - time.monotonic()
     wait_until(
         lambda: all(in_force_version(site, e) >= version for e in site.entries),
         f"version {version} in force on all entry hosts",
-        left_s,
+        remaining_s,
     )
     print(f"in force after {time.monotonic() - context.published_s:.2f} s")
 
 
-@then("no version fell on any entry host")
-def _no_fall(context):
-    falls = [fall for watcher in context.watchers for fall in watcher.falls]
-    require(not falls, falls)
-    seen = [watcher.highest for watcher in context.watchers]
-    require(min(seen) >= context.version - 1, f"watched versions: {seen}")
+@then("the version in force decreased on no entry host")
+def _no_regression(context):
+    regressions = [text for watcher in context.watchers for text in watcher.regressions]
+    require(not regressions, regressions)
+    highest = [watcher.highest_version for watcher in context.watchers]
+    require(min(highest) >= context.version - 1, f"watched versions: {highest}")
 
 
-@then("{entry} starts from its peers with the version published last")
-def _starts_from_peers(context, entry):
+@then("{entry_host} starts from its peers with the latest published version")
+def _starts_from_peers(context, entry_host):
     site = context.site
     duration_s = wait_until(
-        lambda: in_force_version(site, entry) > 0, f"{entry} is ready", START_LIMIT_S
+        lambda: in_force_version(site, entry_host) > 0,
+        f"{entry_host} is ready",
+        START_LIMIT_S,
+    )
+    version = in_force_version(site, entry_host)
+    require(
+        version == context.version,
+        f"{version} is in force, published {context.version}",
     )
-    version = in_force_version(site, entry)
-    require(version == context.version, f"{version}, published {context.version}")
-    print(f"{entry} was ready after {duration_s:.1f} s")
+    print(f"{entry_host} was ready after {duration_s:.1f} s")
 
 
-@then("{entry} serves ratings before it has reached the store")
-def _serves(context, entry):
+@then("{entry_host} serves ratings before it has reached the store")
+def _serves(context, entry_host):
     site = context.site
-    address = site.http_address(entry)
+    address = site.http_address(entry_host)
     wait_until(
-        lambda: site.call(address, "GET", "/readyz").status == 200, f"{entry} is ready"
+        lambda: site.call(address, "GET", "/readyz").status == 200,
+        f"{entry_host} is ready",
     )
-    sent = send_one(context, rating("after a start from peers", entry))
+    sent = send_one(context, rating("after a start from peers", entry_host))
     require(sent.outcome == RUN, sent)
-    age_s = site.status(entry)["store"]["contact_age_s"]
-    require(age_s is None, f"{entry} reached the store {age_s} s ago")
+    age_s = site.status(entry_host)["store"]["contact_age_s"]
+    require(age_s is None, f"{entry_host} reached the store {age_s} s ago")
--- a/features/steps/kills_and_freezes.py
+++ b/features/steps/kills_and_freezes.py
@@ -1,4 +1,4 @@
-"""Steps of kills and freezes."""
+"""Steps in which entry hosts are killed or frozen."""
 
 import time
 from collections import Counter
@@ -10,7 +10,7 @@
     SLOTS_COUNT,
     freeze,
     kill,
-    owner_and_more,
+    owner_and_others,
     rating,
     require,
     restart,
@@ -19,12 +19,12 @@
     start_callers,
 )
 from features.support.callers import RUN, send
-from features.support.judgement import (
+from features.support.ledger_checks import (
     contradictions,
-    counts,
     late_starts,
-    ledger,
-    most_at_once,
+    outcome_counts,
+    peak_concurrency,
+    read_ledger,
 )
 from standins.site import wait_until
 
@@ -33,9 +33,11 @@
 
 @given("{count:d} callers send ratings through entry hosts that will not fail")
 def _start_callers(context, count):
-    context.failing = owner_and_more(context.site, "rating", FAILING_COUNT - 1)
-    avoided = frozenset(context.failing)
-    context.callers = start_callers(context, "others", count, rating, avoided=avoided)
+    context.failing = owner_and_others(context.site, "rating", FAILING_COUNT - 1)
+    excluded = frozenset(context.failing)
+    context.callers = start_callers(
+        context, "unaffected", count, rating, excluded=excluded
+    )
     time.sleep(1.0)
 
 
@@ -46,14 +48,14 @@
     context.add_cleanup(executor.shutdown)
     set_backend_fault(site, kind="slow", delay_s=1.0, duration_s=0.4)
     orders = [rating(f"long-{number}", owner) for number in range(count)]
-    context.long = [executor.submit(send, site, order) for order in orders]
+    context.long_requests = [executor.submit(send, site, order) for order in orders]
     time.sleep(0.2)
 
 
 @when("the owner of the rating queue and {count:d} more daemons are killed")
 def _kill(context, count):
-    for entry in context.failing[: 1 + count]:
-        kill(context, entry)
+    for entry_host in context.failing[: 1 + count]:
+        kill(context, entry_host)
 
 
 @when("the owner of the rating queue is frozen for {seconds:d} s")
@@ -66,26 +68,31 @@
 
 @then("every rating was run, and started within 1.3 s")
 def _all_run(context):
-    sents = context.callers.stop()
-    long = [future.result() for future in getattr(context, "long", [])]
-    context.ledger = ledger(context.site)
-    bad = [sent for sent in sents if sent.outcome != RUN]
-    require(len(sents) > 100 and not bad, f"{counts(sents)}; {bad[:3]}")
-    late = late_starts(sents, context.ledger)
-    require(not late, f"{len(late)} of {len(sents)}: {late[:5]}")
-    found = contradictions([*sents, *long], context.ledger)
-    require(not found, found[:5])
-
-
-@then("no backend server was asked for more slots than it has")
-def _no_refusals(context):
+    sent_requests = context.callers.stop()
+    long_requests = [
+        future.result() for future in getattr(context, "long_requests", [])
+    ]
+    context.ledger = read_ledger(context.site)
+    failed = [sent for sent in sent_requests if sent.outcome != RUN]
+    require(
+        len(sent_requests) > 100 and not failed,
+        f"{outcome_counts(sent_requests)}; {failed[:3]}",
+    )
+    late = late_starts(sent_requests, context.ledger)
+    require(not late, f"{len(late)} of {len(sent_requests)}: {late[:5]}")
+    contradicted = contradictions([*sent_requests, *long_requests], context.ledger)
+    require(not contradicted, contradicted[:5])
+
+
+@then("no backend server received more requests at a time than it has slots")
+def _no_excess_requests(context):
     refusals = context.site.call(
         context.site.backend_control_address, "GET", "/refusals"
     ).json()
     refused = {server: count for server, count in refusals.items() if count}
-    require(not refused, f"requests beyond the slots by server: {refused}")
-    most = most_at_once(context.ledger)
-    require(max(most.values()) <= SLOTS_COUNT, most)
+    require(not refused, f"requests refused for lack of a slot, by server: {refused}")
+    peak = peak_concurrency(context.ledger)
+    require(max(peak.values()) <= SLOTS_COUNT, peak)
 
 
 @then("no rating ran twice")
@@ -95,7 +102,7 @@
     require(not repeated, f"ran more than once: {repeated}")
 
 
-@then("all entry hosts count the frozen daemon as live")
+@then("all entry hosts list the frozen daemon as live")
 def _rejoined(context):
     site, owner = context.site, context.failing[0]
     wait_until(
@@ -111,8 +118,8 @@
     restart(context, sorted(context.killed))
     wait_until(
         lambda: all(
-            len(site.status(entry)["live_entries"]) == len(site.entries)
-            for entry in site.entries
+            len(site.status(entry_host)["live_entries"]) == len(site.entries)
+            for entry_host in site.entries
         ),
         "all entry hosts are live everywhere",
         15,
--- a/features/steps/planned_stop.py
+++ b/features/steps/planned_stop.py
@@ -1,4 +1,4 @@
-"""Steps of planned stops."""
+"""Steps that stop daemons as planned."""
 
 import signal
 import threading
@@ -7,54 +7,54 @@
 from behave import then, when
 from urllib3.exceptions import HTTPError
 
-from features.steps.common import owner_and_more, require, restart
+from features.steps.common import owner_and_others, require, restart
 
 STOP_LIMIT_S = 30.0
 
 
 class _Stop(threading.Thread):
-    """Stops a daemon, and notes what it reports until its listener is closed."""
+    """Stops a daemon and polls its readiness until its listener is closed."""
 
-    def __init__(self, context, entry):
+    def __init__(self, context, entry_host):
         super().__init__(daemon=True)
         self._site = context.site
-        self.entry = entry
-        self.was_not_ready = False
+        self.entry_host = entry_host
+        self.has_reported_stopping = False
         self.exit_code = None
-        context.killed.add(entry)
+        context.killed.add(entry_host)
 
     def run(self):
-        self._site.signal(self.entry, signal.SIGTERM)
-        while self._reports():
+        self._site.signal(self.entry_host, signal.SIGTERM)
+        while self._poll_readiness():
             time.sleep(0.05)
-        self.exit_code = self._site.stop_entry(self.entry, STOP_LIMIT_S)
+        self.exit_code = self._site.stop_entry(self.entry_host, STOP_LIMIT_S)
 
-    def _reports(self):
-        address = self._site.http_address(self.entry)
+    def _poll_readiness(self):
+        address = self._site.http_address(self.entry_host)
         try:
             answer = self._site.call(address, "GET", "/readyz", timeout_s=2)
         except HTTPError:
             return False
         if answer.status == 503 and "stopping" in answer.json()["reasons"]:
-            self.was_not_ready = True
+            self.has_reported_stopping = True
         return True
 
 
 @when("the owner of the rating queue and {count:d} more daemons stop one after another")
-def _stop_in_turn(context, count):
+def _stop_one_after_another(context, count):
     context.stops = []
-    for entry in owner_and_more(context.site, "rating", count):
-        stop = _Stop(context, entry)
+    for entry_host in owner_and_others(context.site, "rating", count):
+        stop = _Stop(context, entry_host)
         context.stops.append(stop)
         stop.start()
         stop.join(STOP_LIMIT_S)
     time.sleep(0.5)
 
 
-@when("the owner of the rating queue and {count:d} more daemons stop at once")
-def _stop_at_once(context, count):
-    entries = owner_and_more(context.site, "rating", count)
-    context.stops = [_Stop(context, entry) for entry in entries]
+@when("the owner of the rating queue and {count:d} more daemons stop concurrently")
+def _stop_concurrently(context, count):
+    entry_hosts = owner_and_others(context.site, "rating", count)
+    context.stops = [_Stop(context, entry_host) for entry_host in entry_hosts]
     for stop in context.stops:
         stop.start()
     for stop in context.stops:
@@ -63,13 +63,18 @@
 
 
 @then("each daemon reported that it stops before it closed its listener")
-def _readiness_fell(context):
-    silent = [stop.entry for stop in context.stops if not stop.was_not_ready]
-    require(not silent, f"never reported to be stopping: {silent}")
+def _reported_stopping(context):
+    unreported = [
+        stop.entry_host for stop in context.stops if not stop.has_reported_stopping
+    ]
+    require(
+        not unreported,
+        f"closed their listener without reporting that they stop: {unreported}",
+    )
 
 
 @then("each daemon ended with exit code 0")
-def _exit_codes(context):
-    codes = {stop.entry: stop.exit_code for stop in context.stops}
+def _exited_with_0(context):
+    codes = {stop.entry_host: stop.exit_code for stop in context.stops}
     require(set(codes.values()) == {0}, codes)
     restart(context, codes)
--- a/features/steps/store_outage.py
+++ b/features/steps/store_outage.py
@@ -1,4 +1,4 @@
-"""Steps of a long store outage."""
+"""Steps of a long outage of the store."""
 
 import time
 
@@ -15,7 +15,7 @@
 )
 from features.steps.configuration import head_version
 from features.support.callers import RUN
-from features.support.judgement import contradictions, counts, ledger
+from features.support.ledger_checks import contradictions, outcome_counts, read_ledger
 from features.support.watchers import StoreCallWatcher
 from standins.site import wait_until
 
@@ -26,13 +26,13 @@
 @given("the store's calls are counted each second")
 def _count_calls(context):
     context.version = head_version(context.site)
-    context.calls = StoreCallWatcher(context.site)
-    context.add_cleanup(context.calls.stop)
-    context.calls.start()
+    context.call_watcher = StoreCallWatcher(context.site)
+    context.add_cleanup(context.call_watcher.stop)
+    context.call_watcher.start()
 
 
 @given("{count:d} callers send {rate:d} ratings a second each")
-def _paced_callers(context, count, rate):
+def _start_rate_limited_callers(context, count, rate):
     context.callers = start_callers(
         context, unique_name(context), count, rating, pause_s=1 / rate
     )
@@ -41,7 +41,7 @@
 
 @given("{seconds:d} s pass")
 def _wait(context, seconds):
-    context.calm_s = time.monotonic()
+    context.baseline_started_s = time.monotonic()
     time.sleep(seconds)
     context.outage_started_s = time.monotonic()
 
@@ -61,50 +61,54 @@
 
 
 @then("an order is run through each entry host")
-def _orders(context):
+def _run_orders(context):
     name = unique_name(context)
-    for entry in context.site.entries:
-        sent = send_one(context, dispatch(f"{name}-{entry}", entry))
+    for entry_host in context.site.entries:
+        sent = send_one(context, dispatch(f"{name}-{entry_host}", entry_host))
         require(sent.outcome == RUN, sent)
 
 
-@then("all daemons own queues again")
-def _registered(context):
+@then("all daemons may own queues again")
+def _queues_ownable(context):
     site = context.site
     wait_until(
         lambda: all(
-            set(site.status(entry)["live_entries"]) == set(site.entries)
-            and all(e["may_own_queues"] for e in site.status(entry)["entries"])
-            for entry in site.entries
+            set(site.status(entry_host)["live_entries"]) == set(site.entries)
+            and all(e["may_own_queues"] for e in site.status(entry_host)["entries"])
+            for entry_host in site.entries
         ),
-        "all daemons are registered",
+        "all daemons may own queues",
         15,
     )
 
 
 @then("callers had the full rate during the outage")
 def _full_rate(context):
-    sents = context.callers.stop()
+    sent_requests = context.callers.stop()
     started_s, ended_s = context.outage_started_s, context.outage_ended_s
-    before = _rate(sents, context.calm_s, started_s)
-    rate = _rate(sents, started_s, ended_s)
-    print(f"ratings a second: {before:.1f} before, {rate:.1f} during the outage")
+    before = _rate(sent_requests, context.baseline_started_s, started_s)
+    rate = _rate(sent_requests, started_s, ended_s)
+    print(f"ratings per second: {before:.1f} before, {rate:.1f} during the outage")
     require(rate >= FULL_RATE_RATIO * before, f"{before:.1f} before, {rate:.1f} during")
-    # Connections to the killed daemon break; all others go on.
-    require(not cut_off_elsewhere(sents, {"entry-6"}), counts(sents))
-    found = contradictions(sents, ledger(context.site))
-    require(not found, found[:5])
+    # Only connections to the killed daemon may break.
+    require(
+        not cut_off_elsewhere(sent_requests, {"entry-6"}), outcome_counts(sent_requests)
+    )
+    contradicted = contradictions(sent_requests, read_ledger(context.site))
+    require(not contradicted, contradicted[:5])
 
 
-def _rate(sents, from_s, until_s):
-    count = sum(s.outcome == RUN and from_s <= s.ended_s < until_s for s in sents)
+def _rate(sent_requests, from_s, until_s):
+    count = sum(
+        s.outcome == RUN and from_s <= s.ended_s < until_s for s in sent_requests
+    )
     return count / (until_s - from_s)
 
 
 @then("the store had at most {writes:d} writes and {reads:d} reads in each second")
 def _calls_within_budget(context, writes, reads):
-    calls = context.calls
-    calls.stop()
-    highest = calls.highest("write"), calls.highest("read")
-    print(f"most writes and reads in a second: {highest[0]:.0f}, {highest[1]:.0f}")
-    require(highest[0] <= writes and highest[1] <= reads, highest)
+    watcher = context.call_watcher
+    watcher.stop()
+    peak_rates = watcher.peak_rate("write"), watcher.peak_rate("read")
+    print(f"peak writes and reads per second: {peak_rates[0]:.0f}, {peak_rates[1]:.0f}")
+    require(peak_rates[0] <= writes and peak_rates[1] <= reads, peak_rates)
--- a/features/support/__init__.py
+++ b/features/support/__init__.py
@@ -1,1 +1,1 @@
-"""Callers, watchers and judgements that the steps share."""
+"""Callers, watchers and ledger checks shared by the steps."""
--- a/features/support/callers.py
+++ b/features/support/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a site, and their requests as they saw them."""
+"""Callers of a site, and the outcomes of their requests as seen by the caller."""
 
 import hashlib
 import threading
@@ -16,20 +16,20 @@
 RUN = "run"
 NOT_RUN = "not-run"
 UNKNOWN = "unknown"
-# Seen by the caller only: the connection was refused, or ended without a response.
+# Outcomes without a response: the connection was refused, or closed too early.
 REFUSED = "connection refused"
 CUT_OFF = "cut off"
 
-BALANCER_INTERVAL_S = 0.2
+READINESS_POLL_INTERVAL_S = 0.2
 REQUEST_TIMEOUT_S = 60.0
 
 
-class Order(NamedTuple):
-    """A request that is to be sent; ``key`` is its idempotency key."""
+class CallerRequest(NamedTuple):
+    """Request to be sent; ``key`` is its idempotency key."""
 
     service: str
     body: bytes
-    entry: str
+    entry_host: str
     key: str | None = None
     headers: dict[str, str] = {}
 
@@ -38,10 +38,10 @@
         return hashlib.sha256(self.body).hexdigest()
 
 
-class Sent(NamedTuple):
-    """A request that was sent, and its outcome. Times are monotonic seconds."""
+class SentRequest(NamedTuple):
+    """Request that was sent, and its outcome; times are on the monotonic clock."""
 
-    order: Order
+    request: CallerRequest
     outcome: str
     started_s: float
     ended_s: float
@@ -53,40 +53,47 @@
     is_last_on_connection: bool = False
 
 
-def send(site: Site, order: Order, http: urllib3.PoolManager | None = None) -> Sent:
-    """Sends a request and waits for its outcome."""
-    headers = dict(order.headers)
-    if order.key is not None:
-        headers["Idempotency-Key"] = order.key
-    url = f"http://{site.http_address(order.entry)}"
+def send(
+    site: Site, request: CallerRequest, http: urllib3.PoolManager | None = None
+) -> SentRequest:
+    """Sends a request and waits for its outcome.
+
+    :param http: pool that keeps the connection alive, by default a shared one.
+    """
+    headers = dict(request.headers)
+    if request.key is not None:
+        headers["Idempotency-Key"] = request.key
+    url = f"http://{site.http_address(request.entry_host)}"
     started_s = time.monotonic()
     try:
         response = (http or _shared_http).request(
             "POST",
-            f"{url}/v1/services/{order.service}/requests",
-            body=order.body,
+            f"{url}/v1/services/{request.service}/requests",
+            body=request.body,
             headers=headers,
             timeout=REQUEST_TIMEOUT_S,
             retries=False,
         )
     except NewConnectionError:
-        return Sent(order, REFUSED, started_s, time.monotonic())
+        return SentRequest(request, REFUSED, started_s, time.monotonic())
     except HTTPError as error:
         now_s = time.monotonic()
-        return Sent(order, CUT_OFF, started_s, now_s, reason=repr(error))
-    return _sent(order, response, started_s)
+        return SentRequest(request, CUT_OFF, started_s, now_s, reason=repr(error))
+    return _sent_request(request, response, started_s)
 
 
 _shared_http = urllib3.PoolManager(num_pools=64, maxsize=400)
 
 
-def _sent(order: Order, response: urllib3.BaseHTTPResponse, started_s: float) -> Sent:
+def _sent_request(
+    request: CallerRequest, response: urllib3.BaseHTTPResponse, started_s: float
+) -> SentRequest:
     outcome = response.headers.get("Sycamorecroft-Outcome", "none")
     digest = ""
     if response.status == 200 and outcome == RUN:
         digest = msgspec.json.decode(response.data)["digest"]
-    return Sent(
-        order,
+    return SentRequest(
+        request,
         outcome,
         started_s,
         time.monotonic(),
@@ -99,88 +106,98 @@
     )
 
 
-def send_all(site: Site, orders: Iterable[Order], concurrency_count: int) -> list[Sent]:
-    """Sends requests, several at a time."""
+def send_all(
+    site: Site, requests: Iterable[CallerRequest], concurrency_count: int
+) -> list[SentRequest]:
+    """Sends requests, up to ``concurrency_count`` at a time.
+
+    :returns: the sent requests, in the order of ``requests``.
+    """
     with ThreadPoolExecutor(concurrency_count) as executor:
-        return list(executor.map(lambda order: send(site, order), orders))
+        return list(executor.map(lambda request: send(site, request), requests))
 
 
-def ready_entries(site: Site) -> list[str]:
+def ready_entry_hosts(site: Site) -> list[str]:
     """
-    :returns: entry hosts that report to be ready.
+    :returns: entry hosts that report that they are ready.
     """
     ready = []
-    for entry in site.entries:
+    for entry_host in site.entries:
         try:
-            answer = site.call(site.http_address(entry), "GET", "/readyz", timeout_s=1)
+            answer = site.call(
+                site.http_address(entry_host), "GET", "/readyz", timeout_s=1
+            )
         except HTTPError:
             continue
         if answer.status == 200:
-            ready.append(entry)
+            ready.append(entry_host)
     return ready
 
 
-class Balancer(threading.Thread):
-    """Stands for the platform's load balancer: tracks which entry hosts are ready."""
+class LoadBalancer(threading.Thread):
+    """Stand-in for the platform's load balancer: polls the readiness of entry hosts.
+
+    :param excluded: entry hosts that get no requests.
+    """
 
-    def __init__(self, site: Site, avoided: frozenset[str] = frozenset()) -> None:
+    def __init__(self, site: Site, excluded: frozenset[str] = frozenset()) -> None:
         super().__init__(daemon=True)
         self._site = site
-        self._avoided = avoided
+        self._excluded = excluded
         self._stopped = threading.Event()
-        self._turn = 0
-        self._ready = self._read()
+        self._next_index = 0
+        self._ready = self._read_ready()
 
-    def _read(self) -> list[str]:
-        return [e for e in ready_entries(self._site) if e not in self._avoided]
+    def _read_ready(self) -> list[str]:
+        return [e for e in ready_entry_hosts(self._site) if e not in self._excluded]
 
-    def next(self) -> str:
+    def next_entry_host(self) -> str:
         """
-        :returns: an entry host, each in turn.
+        :returns: a ready entry host, round robin.
         """
         ready = self._ready
-        self._turn += 1
-        return ready[self._turn % len(ready)]
+        self._next_index += 1
+        return ready[self._next_index % len(ready)]
 
     def run(self) -> None:
-        while not self._stopped.wait(BALANCER_INTERVAL_S):
-            self._ready = self._read() or self._ready
+        while not self._stopped.wait(READINESS_POLL_INTERVAL_S):
+            self._ready = self._read_ready() or self._ready
 
     def stop(self) -> None:
         self._stopped.set()
 
 
 class _Caller(threading.Thread):
-    """Keeps its connection to one entry host until it is closed."""
+    """Caller that uses one connection until it is closed."""
 
     def __init__(self, callers: "Callers", number: int) -> None:
         super().__init__(daemon=True)
         self._callers = callers
         self._number = number
         self._http = urllib3.PoolManager(maxsize=1, num_pools=16)
-        self.sent: list[Sent] = []
+        self.sent: list[SentRequest] = []
 
     def run(self) -> None:
         callers = self._callers
-        entry = callers.balancer.next()
+        entry_host = callers.balancer.next_entry_host()
         while not callers.stopped.is_set():
             name = f"{callers.name}-{self._number}-{len(self.sent)}"
-            order = callers.make_order(name, entry)
-            sent = send(callers.site, order, self._http)
+            request = callers.make_request(name, entry_host)
+            sent = send(callers.site, request, self._http)
             self.sent.append(sent)
             if sent.is_last_on_connection or sent.outcome in (REFUSED, CUT_OFF):
-                entry = callers.balancer.next()
-            rest_s = callers.pause_s - (sent.ended_s - sent.started_s)
-            time.sleep(max(rest_s, 0.0))
+                entry_host = callers.balancer.next_entry_host()
+            remaining_s = callers.pause_s - (sent.ended_s - sent.started_s)
+            time.sleep(max(remaining_s, 0.0))
         self._http.clear()
 
 
 class Callers:
-    """Callers that send requests one after another over kept-alive connections.
+    """Starts callers that each send requests sequentially over a kept-alive connection.
 
-    :param make_order: makes a request from a unique name and an entry host.
-    :param pause_s: a caller starts at most one request in this time.
-    :param avoided: entry hosts that get no request.
+    :param make_request: builds a request from a unique name and an entry host.
+    :param pause_s: minimum time between the starts of two requests of a caller.
+    :param excluded: entry hosts that get no request.
     """
 
     def __init__(
@@ -188,25 +205,25 @@
         site: Site,
         name: str,
         count: int,
-        make_order: Callable[[str, str], Order],
+        make_request: Callable[[str, str], CallerRequest],
         *,
         pause_s: float = 0.02,
-        avoided: frozenset[str] = frozenset(),
+        excluded: frozenset[str] = frozenset(),
     ) -> None:
         self.site = site
         self.name = name
-        self.make_order = make_order
+        self.make_request = make_request
         self.pause_s = pause_s
         self.stopped = threading.Event()
-        self.balancer = Balancer(site, avoided)
+        self.balancer = LoadBalancer(site, excluded)
         self._threads = [_Caller(self, number) for number in range(count)]
         for thread in (self.balancer, *self._threads):
             thread.start()
 
-    def stop(self) -> list[Sent]:
-        """Waits for the requests in flight.
+    def stop(self) -> list[SentRequest]:
+        """Stops the callers after their requests in flight.
 
-        :returns: all requests.
+        :returns: all requests that were sent.
         """
         self.stopped.set()
         for thread in self._threads:
--- a/features/support/watchers.py
+++ b/features/support/watchers.py
@@ -1,4 +1,4 @@
-"""Threads that watch a site while a scenario runs."""
+"""Threads that sample the state of a site while a scenario runs."""
 
 import threading
 import time
@@ -12,7 +12,10 @@
 
 
 class Watcher(threading.Thread):
-    """Calls :meth:`look` again and again until stopped."""
+    """Calls :meth:`observe` periodically until stopped.
+
+    :param interval_s: time between two observations.
+    """
 
     def __init__(self, site: Site, interval_s: float) -> None:
         super().__init__(daemon=True)
@@ -22,97 +25,106 @@
 
     def run(self) -> None:
         while not self._stopped.wait(self._interval_s):
-            self.look()
+            self.observe()
 
-    def look(self) -> None:
-        """One observation."""
+    def observe(self) -> None:
+        """Takes one observation."""
         raise NotImplementedError
 
     def stop(self) -> None:
-        """Waits for the last observation."""
+        """Stops the thread after its last observation."""
         self._stopped.set()
         self.join(10)
 
 
 class VersionWatcher(Watcher):
-    """Notes each fall of the version in force at one entry host.
+    """Records each decrease of the version in force at one entry host.
 
-    Version 0 is that of a daemon that is not ready and refuses requests.
+    Version 0 is ignored: it means that the daemon is not ready and refuses requests.
     """
 
-    def __init__(self, site: Site, entry: str) -> None:
+    def __init__(self, site: Site, entry_host: str) -> None:
         super().__init__(site, 0.1)
-        self._entry = entry
-        self.highest = 0
-        self.falls: list[str] = []
+        self._entry_host = entry_host
+        self.highest_version = 0
+        self.regressions: list[str] = []
 
-    def look(self) -> None:
+    def observe(self) -> None:
         try:
-            version = self.site.status(self._entry)["in_force_version"]
+            version = self.site.status(self._entry_host)["in_force_version"]
         except (HTTPError, KeyError):
             return
-        if 0 < version < self.highest:
-            self.falls.append(f"{self._entry}: from {self.highest} to {version}")
-        self.highest = max(self.highest, version)
+        if 0 < version < self.highest_version:
+            self.regressions.append(
+                f"{self._entry_host}: from {self.highest_version} to {version}"
+            )
+        self.highest_version = max(self.highest_version, version)
 
 
 class StoreCallWatcher(Watcher):
-    """Calls of the table service in each second."""
+    """Measures the call rates of the table service, one sample per second."""
 
     def __init__(self, site: Site) -> None:
         super().__init__(site, 1.0)
-        self._former: tuple[float, Counter[str]] | None = None
+        self._previous: tuple[float, Counter[str]] | None = None
         self.rates: list[dict[str, float]] = []
 
-    def look(self) -> None:
+    def observe(self) -> None:
         answer = self.site.call(self.site.platform_address, "GET", "/counts")
         now_s = time.monotonic()
-        total: Counter[str] = Counter()
+        call_counts: Counter[str] = Counter()
         for call in answer.json()["calls"]:
-            total[call["operation"]] += call["count"]
-        if self._former is not None:
-            then_s, former = self._former
-            rates = {k: (total[k] - former[k]) / (now_s - then_s) for k in total}
+            call_counts[call["operation"]] += call["count"]
+        if self._previous is not None:
+            previous_s, previous = self._previous
+            rates = {
+                k: (call_counts[k] - previous[k]) / (now_s - previous_s)
+                for k in call_counts
+            }
             self.rates.append(rates)
-        self._former = (now_s, total)
+        self._previous = (now_s, call_counts)
 
-    def highest(self, operation: str) -> float:
+    def peak_rate(self, operation: str) -> float:
         """
-        :returns: most calls per second of ``read`` or ``write``.
+        :param operation: ``read`` or ``write``.
+        :returns: largest number of calls per second.
         """
         return max(rates.get(operation, 0.0) for rates in self.rates)
 
 
 class HostRowWatcher(Watcher):
-    """States of all hosts, from one scan of the table at a time."""
+    """Records state changes of all hosts; each observation is one scan of the table."""
 
     def __init__(self, site: Site) -> None:
         super().__init__(site, 0.05)
-        self.most_out: Counter[str] = Counter()
+        self.max_out_counts: Counter[str] = Counter()
         self.changes: list[tuple[float, str, str]] = []
         self._states: dict[str, str] = {}
 
-    def look(self) -> None:
+    def observe(self) -> None:
         answer = self.site.call(self.site.platform_address, "GET", "/tables/hosts")
         if answer.status != 200:
             return
         now_s = time.monotonic()
-        records = [_record(row) for row in answer.json()["rows"]]
+        records = [_decode_record(row) for row in answer.json()["rows"]]
         out = Counter(r["pool"] for r in records if r["state"] != "active")
         for pool, count in out.items():
-            self.most_out[pool] = max(self.most_out[pool], count)
+            self.max_out_counts[pool] = max(self.max_out_counts[pool], count)
         for record in records:
             host, state = record["host"], record["state"]
             if self._states.get(host) != state:
                 self._states[host] = state
                 self.changes.append((now_s, host, state))
 
-    def times_of(self, host: str, state: str) -> list[float]:
+    def state_times_s(self, host: str, state: str) -> list[float]:
         """
-        :returns: when ``host`` was first seen in ``state``, each time.
+        :returns: monotonic time of the first observation of ``host`` in ``state``, for
+            each change into that state.
         """
-        return [at_s for at_s, name, to in self.changes if (name, to) == (host, state)]
+        return [
+            at_s for at_s, name, new in self.changes if (name, new) == (host, state)
+        ]
 
 
-def _record(row: dict[str, Any]) -> dict[str, Any]:
+def _decode_record(row: dict[str, Any]) -> dict[str, Any]:
     return msgspec.json.decode(row["value"])
