--- a/benchmarks/buffer.py
+++ b/benchmarks/buffer.py
@@ -1,13 +1,17 @@
-"""Buffer cost of the shared reserve: ``python -m benchmarks.buffer [--seed N]``.
+"""Compares a reserve shared by all pools with a dedicated reserve in each pool.
 
-Model: 5 pools of 8 hosts, each pool in two racks of 4 (section 1.2 of docs/design.md).
-Over a day in steps of 10 minutes one pool after the other peaks at 10 hosts, the others
-need few. A wave takes one host from each pool at once. The baseline keeps in each pool
-the fewest hosts that meet its need of the moment through the wave and the failure of
-any one of its racks, with as many racks of 4 as it needs. The plan keeps them shared.
+Run ``python -m benchmarks.buffer [--seed N]``.
 
-Exact search: small random fleets whose racks hold hosts of several pools; all counts
-of held hosts by pool and rack are tried.
+Model: 5 pools of 8 hosts, each pool in two racks of 4 (section 1.2 of docs/design.md).
+Over a day in steps of 10 minutes, one pool after the other has a peak demand of 10
+hosts while the others need few. A maintenance wave takes one host of each pool out of
+service at once. The baseline gives each pool the fewest hosts that meet its current
+demand during the wave and the failure of any one of its racks, and as many racks of 4
+as that takes. The buffer plan shares the reserve between the pools.
+
+The plan is also compared with the optimum on small random fleets whose racks contain
+hosts of several pools. An exhaustive search over the number of allocated hosts for each
+pool and rack finds the optimum.
 """
 
 import argparse
@@ -29,32 +33,32 @@
 POOLS = ("rating", "assessment", "hotline", "dispatch", "backoffice")
 HOSTS_COUNT = 8
 RACK_SIZE = 4
-PEAK_HOSTS = 10
+PEAK_HOSTS_COUNT = 10
 STEPS_COUNT = 144
 SMALL_CASES_COUNT = 300
 TARGET_RATIO = 0.5
 TARGET_EXCESS_RATIO = 0.05
 
 
-class _Day(NamedTuple):
-    shared_mean: float
-    shared_max: int
-    fixed_mean: float
-    fixed_max: int
+class _DayResult(NamedTuple):
+    shared_mean_count: float
+    shared_max_count: int
+    dedicated_mean_count: float
+    dedicated_max_count: int
 
 
-def _needs(step: int, source: random.Random) -> Mapping[str, int]:
+def _needed_hosts(step: int, rng: random.Random) -> Mapping[str, int]:
     peak_position = step / STEPS_COUNT * len(POOLS)
     needs = {}
     for number, pool in enumerate(POOLS):
         distance = abs(peak_position - number - 0.5)
-        level = PEAK_HOSTS * max(0.0, math.cos(distance * math.pi / 2))
-        level = level if distance < 1 else 0.1
-        needs[pool] = max(1, math.ceil(level * source.uniform(0.95, 1.0)))
+        hosts_count = PEAK_HOSTS_COUNT * max(0.0, math.cos(distance * math.pi / 2))
+        hosts_count = hosts_count if distance < 1 else 0.1
+        needs[pool] = max(1, math.ceil(hosts_count * rng.uniform(0.95, 1.0)))
     return needs
 
 
-def _site() -> tuple[PlacedHost, ...]:
+def _site_hosts() -> tuple[PlacedHost, ...]:
     return tuple(
         PlacedHost(f"{pool}-{number}", pool, f"{pool}-{number // RACK_SIZE}")
         for pool in POOLS
@@ -62,110 +66,139 @@
     )
 
 
-def _fixed_spare(need: int, batch: int) -> int:
-    held = need + batch
-    while held - min(RACK_SIZE, math.ceil(held / 2)) < need + batch:
-        held += 1
-    return held - need
+def _dedicated_reserve_count(need: int, batch_count: int) -> int:
+    allocated_count = need + batch_count
+    while (
+        allocated_count - min(RACK_SIZE, math.ceil(allocated_count / 2))
+        < need + batch_count
+    ):
+        allocated_count += 1
+    return allocated_count - need
+
 
+def _check_rack_failures(request: BufferPlanInput, plan: BufferPlan) -> None:
+    """Checks that enough hosts remain after any rack failure during a wave.
 
-def _require_survival(request: BufferPlanInput, plan: BufferPlan) -> None:
-    """Tries each rack failure with each choice of a wave, pool by pool."""
-    held = [host for host in request.hosts if host.host in plan.allocated_hosts]
-    for failed in {host.rack for host in held}:
-        left = [host for host in held if host.rack != failed]
-        largest = {
+    The wave takes its hosts of each pool from the remaining rack that has most of them.
+
+    :raises AssertionError: if fewer hosts remain than the pools need.
+    """
+    allocated = [host for host in request.hosts if host.host in plan.allocated_hosts]
+    for failed in {host.rack for host in allocated}:
+        remaining = [host for host in allocated if host.rack != failed]
+        largest_rack_counts = {
             pool: max(
-                Counter(h.rack for h in left if h.pool == pool).values(), default=0
+                Counter(h.rack for h in remaining if h.pool == pool).values(), default=0
             )
             for pool in request.batches
         }
-        out = sum(min(largest[pool], count) for pool, count in request.batches.items())
-        if plan.missing_count == 0 and len(left) - out < sum(request.needs.values()):
-            raise AssertionError(f"rack {failed} leaves too few hosts")
-
-
-def _run_day(source: random.Random) -> _Day:
-    shared, fixed = [], []
+        unavailable_count = sum(
+            min(largest_rack_counts[pool], count)
+            for pool, count in request.batches.items()
+        )
+        if plan.missing_count == 0 and len(remaining) - unavailable_count < sum(
+            request.needs.values()
+        ):
+            raise AssertionError(f"too few hosts remain when rack {failed} fails")
+
+
+def _run_day(rng: random.Random) -> _DayResult:
+    shared, dedicated = [], []
     batches = dict.fromkeys(POOLS, 1)
     for step in range(STEPS_COUNT):
-        needs = _needs(step, source)
-        request = BufferPlanInput(_site(), needs, batches)
+        needs = _needed_hosts(step, rng)
+        request = BufferPlanInput(_site_hosts(), needs, batches)
         plan = plan_buffer(request)
-        _require_survival(request, plan)
+        _check_rack_failures(request, plan)
         if plan.missing_count:
-            raise AssertionError(f"step {step} lacks {plan.missing_count} hosts")
+            raise AssertionError(f"step {step}: {plan.missing_count} hosts are missing")
         shared.append(plan.reserve_count)
-        fixed.append(sum(_fixed_spare(need, 1) for need in needs.values()))
-    return _Day(
-        sum(shared) / STEPS_COUNT, max(shared), sum(fixed) / STEPS_COUNT, max(fixed)
+        dedicated.append(
+            sum(_dedicated_reserve_count(need, 1) for need in needs.values())
+        )
+    return _DayResult(
+        sum(shared) / STEPS_COUNT,
+        max(shared),
+        sum(dedicated) / STEPS_COUNT,
+        max(dedicated),
     )
 
 
-def _small_case(source: random.Random) -> BufferPlanInput:
+def _small_case(rng: random.Random) -> BufferPlanInput:
     pools, racks = ("a", "b", "c"), ("r0", "r1", "r2", "r3")
-    cells = [(pool, rack) for pool in pools for rack in racks]
-    counts = {cell: source.choice((0, 0, 1, 1, 2, 3)) for cell in cells}
+    pool_racks = [(pool, rack) for pool in pools for rack in racks]
+    counts = {pool_rack: rng.choice((0, 0, 1, 1, 2, 3)) for pool_rack in pool_racks}
     hosts = tuple(
         PlacedHost(f"{pool}-{rack}-{number}", pool, rack)
         for (pool, rack), count in counts.items()
         for number in range(count)
     )
-    needs = {pool: source.randint(0, 3) for pool in pools}
-    return BufferPlanInput(hosts, needs, dict.fromkeys(pools, source.randint(0, 1)))
+    needs = {pool: rng.randint(0, 3) for pool in pools}
+    return BufferPlanInput(hosts, needs, dict.fromkeys(pools, rng.randint(0, 1)))
 
 
-def _choices(request: BufferPlanInput) -> Iterator[Counter[tuple[str, str]]]:
+def _allocations(request: BufferPlanInput) -> Iterator[Counter[tuple[str, str]]]:
     sizes = Counter((host.pool, host.rack) for host in request.hosts)
-    cells = sorted(sizes)
-    for counts in itertools.product(*(range(sizes[cell] + 1) for cell in cells)):
-        yield Counter(dict(zip(cells, counts, strict=True)))
-
-
-def _exact_reserve(request: BufferPlanInput) -> int | None:
-    wanted = Counter(request.needs) + Counter(request.batches)
-    owned = Counter(host.pool for host in request.hosts)
-    floors = {pool: min(wanted[pool], owned[pool]) for pool in owned}
-    best: int | None = None
-    for held in _choices(request):
-        total = held.total()
-        if best is not None and total >= best:
+    pool_racks = sorted(sizes)
+    for counts in itertools.product(
+        *(range(sizes[pool_rack] + 1) for pool_rack in pool_racks)
+    ):
+        yield Counter(dict(zip(pool_racks, counts, strict=True)))
+
+
+def _optimal_reserve_count(request: BufferPlanInput) -> int | None:
+    required_counts = Counter(request.needs) + Counter(request.batches)
+    pool_sizes = Counter(host.pool for host in request.hosts)
+    minimum_sizes = {
+        pool: min(required_counts[pool], pool_sizes[pool]) for pool in pool_sizes
+    }
+    best_count: int | None = None
+    for allocated in _allocations(request):
+        total_count = allocated.total()
+        if best_count is not None and total_count >= best_count:
             continue
         by_rack: Counter[str] = Counter()
         by_pool: Counter[str] = Counter()
-        for (pool, rack), count in held.items():
+        for (pool, rack), count in allocated.items():
             by_rack[rack] += count
             by_pool[pool] += count
-        survives = total - max(by_rack.values(), default=0) >= wanted.total()
-        if survives and all(by_pool[pool] >= floors[pool] for pool in floors):
-            best = total
-    return None if best is None else best - sum(request.needs.values())
+        survives = (
+            total_count - max(by_rack.values(), default=0) >= required_counts.total()
+        )
+        if survives and all(
+            by_pool[pool] >= minimum_sizes[pool] for pool in minimum_sizes
+        ):
+            best_count = total_count
+    return None if best_count is None else best_count - sum(request.needs.values())
 
 
-def _compare_exact(source: random.Random) -> tuple[int, int, int]:
+def _compare_with_optimum(rng: random.Random) -> tuple[int, int, int]:
     """
-    :returns: reserve of the plans, of the exact search, and the largest difference.
+    :returns: hosts in reserve over all cases, by the plans and by exhaustive search,
+        and the largest excess of a plan.
     """
-    planned, exact, worst = 0, 0, 0
+    planned_count, optimal_count, largest_excess_count = 0, 0, 0
     cases_count = 0
     while cases_count < SMALL_CASES_COUNT:
-        request = _small_case(source)
+        request = _small_case(rng)
         sizes = Counter((host.pool, host.rack) for host in request.hosts)
         if math.prod(size + 1 for size in sizes.values()) > 50_000:
             continue
         cases_count += 1
         plan = plan_buffer(request)
-        optimum = _exact_reserve(request)
-        if (optimum is None) != (plan.missing_count > 0):
-            raise AssertionError(f"plan and exact search disagree on {request}")
-        if optimum is not None:
-            planned += plan.reserve_count
-            exact += optimum
-            worst = max(worst, plan.reserve_count - optimum)
-    return planned, exact, worst
+        optimum_count = _optimal_reserve_count(request)
+        if (optimum_count is None) != (plan.missing_count > 0):
+            raise AssertionError(f"plan and exhaustive search disagree on {request}")
+        if optimum_count is not None:
+            planned_count += plan.reserve_count
+            optimal_count += optimum_count
+            largest_excess_count = max(
+                largest_excess_count, plan.reserve_count - optimum_count
+            )
+    return planned_count, optimal_count, largest_excess_count
 
 
-def _target_size_s() -> float:
+def _planning_time_s() -> float:
     hosts = tuple(
         PlacedHost(f"h{number}", f"p{number % 22}", f"r{number // 20}")
         for number in range(1000)
@@ -181,28 +214,31 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=20261204)
     seed = parser.parse_args().seed
-    source = random.Random(seed)
-    day = _run_day(source)
-    planned, exact, worst = _compare_exact(source)
-    ratio = day.shared_mean / day.fixed_mean
-    excess_ratio = planned / exact - 1
+    rng = random.Random(seed)
+    day = _run_day(rng)
+    planned_count, optimal_count, largest_excess_count = _compare_with_optimum(rng)
+    ratio = day.shared_mean_count / day.dedicated_mean_count
+    excess_ratio = planned_count / optimal_count - 1
     print(f"seed {seed}")
     print(
-        f"reserve, fixed spare in each pool: mean {day.fixed_mean:.1f} "
-        f"max {day.fixed_max}"
+        f"reserve, dedicated to each pool: mean {day.dedicated_mean_count:.1f} "
+        f"max {day.dedicated_max_count}"
+    )
+    print(
+        f"reserve, shared plan: mean {day.shared_mean_count:.1f} "
+        f"max {day.shared_max_count}"
     )
-    print(f"reserve, shared plan: mean {day.shared_mean:.1f} max {day.shared_max}")
     print(
         f"ratio {ratio:.2f}, target at most {TARGET_RATIO}: "
         f"{'met' if ratio <= TARGET_RATIO else 'missed'}"
     )
     print(
-        f"small cases: plan {planned}, exact {exact} hosts in reserve, "
-        f"largest difference {worst}; excess {excess_ratio:.1%}, target at most "
-        f"{TARGET_EXCESS_RATIO:.0%}: "
+        f"small cases: plan {planned_count}, exact {optimal_count} hosts in reserve, "
+        f"largest difference {largest_excess_count}; excess {excess_ratio:.1%}, "
+        f"target at most {TARGET_EXCESS_RATIO:.0%}: "
         f"{'met' if excess_ratio <= TARGET_EXCESS_RATIO else 'missed'}"
     )
-    print(f"one plan for 1,000 hosts in 22 pools: {_target_size_s():.2f} s")
+    print(f"one plan for 1,000 hosts in 22 pools: {_planning_time_s():.2f} s")
 
 
 if __name__ == "__main__":
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,7 +1,7 @@
-"""Batched claims against one write for each claim, at several request rates.
+"""Compares batched claims with one store write for each claim, at several rates.
 
-Run: ``python benchmarks/claims.py [--seed N] [--duration S]``. Both run against an
-in-memory table service with a delay for each call, with the same arrivals.
+Run ``python benchmarks/claims.py [--seed N] [--duration S]``. Both variants get the
+same arrivals and use an in-memory table service that delays each call.
 """
 
 import argparse
@@ -32,33 +32,35 @@
 RATES_PER_S = (10, 50, 100, 200, 400)
 THREADS_COUNT = 200
 UNLIMITED = {purpose: StoreRate(1e6, 1e6) for purpose in StorePurpose}
-NO_BATCHES = BatchSettings(window_s=0.0, inserts_max_count=1)
+UNBATCHED = BatchSettings(window_s=0.0, inserts_max_count=1)
 
 
 class Outcome(NamedTuple):
-    """Result of one run at one request rate."""
+    """Result of one variant at one request rate."""
 
-    held_count: int
+    claimed_count: int
     refused_count: int
     writes_per_s: float
     latencies_ms: list[float]
 
 
-def arrivals(rate_per_s: int, duration_s: float, seed: int) -> list[float]:
+def poisson_arrivals_s(rate_per_s: int, duration_s: float, seed: int) -> list[float]:
     """
     :returns: times of a Poisson process in seconds from the start.
     """
-    source = random.Random(seed)
-    times, time_s = [], source.expovariate(rate_per_s)
+    rng = random.Random(seed)
+    arrivals_s, time_s = [], rng.expovariate(rate_per_s)
     while time_s < duration_s:
-        times.append(time_s)
-        time_s += source.expovariate(rate_per_s)
-    return times
+        arrivals_s.append(time_s)
+        time_s += rng.expovariate(rate_per_s)
+    return arrivals_s
 
 
-def run(times: list[float], batch: BatchSettings, budget: StoreBudget) -> Outcome:
+def run_claims(
+    arrivals_s: list[float], batch: BatchSettings, budget: StoreBudget
+) -> Outcome:
     """
-    :returns: outcome of claims that arrive at ``times``, each with a key of its own.
+    :returns: outcome of claims that arrive at ``times``, each with a unique key.
     """
     tables = MemoryTables(FaultSwitch(timeout_s=None))
     tables.faults.set_delay(STORE_DELAY_S)
@@ -71,12 +73,12 @@
     service.start()
     latencies_ms: list[float] = []
     lock = threading.Lock()
-    begin_s = time.monotonic()
+    started_s = time.monotonic()
 
-    def claim(item: tuple[int, float]) -> bool:
-        time.sleep(max(0.0, begin_s + item[1] - time.monotonic()))
+    def claim(arrival: tuple[int, float]) -> bool:
+        time.sleep(max(0.0, started_s + arrival[1] - time.monotonic()))
         sent_s = time.monotonic()
-        key = ClaimKey("account", "service", str(item[0]))
+        key = ClaimKey("account", "service", str(arrival[0]))
         try:
             service.claim(key, body_digest="d", deadline_s=sent_s + 2.0)
         except NotRunError:
@@ -86,21 +88,24 @@
         return True
 
     with ThreadPoolExecutor(THREADS_COUNT) as pool:
-        held = list(pool.map(claim, enumerate(times)))
-    elapsed_s = time.monotonic() - begin_s
+        claimed = list(pool.map(claim, enumerate(arrivals_s)))
+    elapsed_s = time.monotonic() - started_s
     service.stop()
     writes_count = tables.call_counts()[StorePurpose.CLAIMS, Operation.WRITE]
-    held_count = sum(held)
+    claimed_count = sum(claimed)
     return Outcome(
-        held_count, len(held) - held_count, writes_count / elapsed_s, latencies_ms
+        claimed_count,
+        len(claimed) - claimed_count,
+        writes_count / elapsed_s,
+        latencies_ms,
     )
 
 
-def report(name: str, rate_per_s: int, outcome: Outcome) -> None:
+def print_outcome(name: str, rate_per_s: int, outcome: Outcome) -> None:
     latencies_ms = sorted(outcome.latencies_ms) or [0.0]
     p99_ms = latencies_ms[int(len(latencies_ms) * 0.99)]
     print(
-        f"{name:28} {rate_per_s:6} {outcome.held_count:6} {outcome.refused_count:8} "
+        f"{name:28} {rate_per_s:6} {outcome.claimed_count:6} {outcome.refused_count:8} "
         f"{outcome.writes_per_s:9.1f} {statistics.median(latencies_ms):8.1f} "
         f"{p99_ms:8.1f}"
     )
@@ -112,21 +117,21 @@
     parser.add_argument("--duration", type=float, default=5.0, help="seconds per run")
     options = parser.parse_args()
     print(f"seed {options.seed}, store delay {STORE_DELAY_S * 1000:g} ms per call")
-    print("'share' limits the store calls to one daemon's ninth of the budget")
+    print("'share' limits the store calls to a ninth of the budget, one daemon's share")
     print(
-        f"{'variant':28} {'req/s':>6} {'held':>6} {'refused':>8} {'writes/s':>9} "
+        f"{'variant':28} {'req/s':>6} {'claims':>6} {'refused':>8} {'writes/s':>9} "
         f"{'p50 ms':>8} {'p99 ms':>8}"
     )
     for rate_per_s in RATES_PER_S:
-        times = arrivals(rate_per_s, options.duration, options.seed)
-        for name, batch in (("one write each", NO_BATCHES), ("batched", None)):
+        arrivals_s = poisson_arrivals_s(rate_per_s, options.duration, options.seed)
+        for name, batch in (("one write per claim", UNBATCHED), ("batched", None)):
             for limit, rates, share in (
                 ("", UNLIMITED, 1.0),
                 (", share", SYSTEM_RATES, 1 / 9),
             ):
                 budget = StoreBudget(share, time.monotonic(), rates=rates)
-                outcome = run(times, batch or BatchSettings(), budget)
-                report(name + limit, rate_per_s, outcome)
+                outcome = run_claims(arrivals_s, batch or BatchSettings(), budget)
+                print_outcome(name + limit, rate_per_s, outcome)
 
 
 if __name__ == "__main__":
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,12 +1,14 @@
-"""Time from the commit of a configuration until it is in force on all 9 daemons.
+"""Measures how long a committed configuration takes to be in force on all 9 daemons.
 
 Run ``python -m benchmarks.configuration --seed 1``. Changes are published on a site of
-9 daemons at random moments; the daemons' logs give the times. Then the store is made
-unavailable right after each commit, and then one daemon is frozen (SIGSTOP) as well.
-
-The baseline is polling alone, in virtual time with the daemons' own version gates: each
-daemon polls the head once a second, and learns the claims of the others by the same
-polls, since there is no gossip. Targets (section 1.7): p99 2 s, and 10 s under faults.
+9 daemons at random times, and the times of taking effect are read from the daemons'
+logs. In a second series the store becomes unavailable right after each commit; in a
+third one, a daemon is also frozen (SIGSTOP).
+
+The baseline is polling without gossip, simulated in virtual time with the version gates
+of the daemons: each daemon polls the head once a second and reads the claims of the
+others by the same polls. Targets (section 1.7 of docs/design.md): p99 of 2 s, and 10 s
+under faults.
 """
 
 import argparse
@@ -21,34 +23,34 @@
 from random import Random
 from typing import NamedTuple
 
-from benchmarks.site_sizes import PORT_SHIFT, changed, publish
-from benchmarks.usage import load_line
+from benchmarks.site_sizes import PORT_SHIFT, publish, with_changed_weight
+from benchmarks.usage import describe_load
 from standins.load_summary import quantile
 from standins.site import ROOT, Site
 from sycamorecroft.configuration.fleet import FleetConfiguration
 from sycamorecroft.configuration.gate import VersionGate
 
-ENTRIES_COUNT = 9
+ENTRY_HOSTS_COUNT = 9
 POLL_INTERVAL_S = 1.0
 POLL_JITTER_RATIO = 0.1
-STORE_DOWN_S = 3.0
+STORE_OUTAGE_S = 3.0
 FROZEN_S = 4.0
 FAULT_ROUNDS_COUNT = 3
 TARGET_S = 2.0
-TARGET_FAULTS_S = 10.0
-LIMIT_S = 20.0
-FROZEN_ENTRY = "entry-5"
+TARGET_UNDER_FAULTS_S = 10.0
+CHANGE_TIMEOUT_S = 20.0
+FROZEN_ENTRY_HOST = "entry-5"
 
 
 class Commit(NamedTuple):
-    """A published version and the wall time of its commit, in seconds."""
+    """A published version and the time of its commit, in Unix seconds."""
 
     version: int
     committed_s: float
 
 
-class _PolledDaemon:
-    """A daemon that learns everything by polls."""
+class _PollingDaemon:
+    """Simulated daemon that gets all state by polling."""
 
     def __init__(self, name: str, names: list[str], random: Random) -> None:
         self.name = name
@@ -56,7 +58,7 @@
         self._random = random
         self.next_s = random.uniform(0.0, POLL_INTERVAL_S)
 
-    def poll(self, head: FleetConfiguration, peers: list["_PolledDaemon"]) -> bool:
+    def poll(self, head: FleetConfiguration, peers: list["_PollingDaemon"]) -> bool:
         """
         :returns: whether the head is in force afterwards.
         """
@@ -69,14 +71,14 @@
         return self.gate.in_force_version == head.version
 
 
-def polling_alone(
+def simulate_polling(
     configuration: FleetConfiguration, random: Random, changes_count: int
 ) -> list[float]:
     """
-    :returns: time of each change until it is in force everywhere, in virtual time.
+    :returns: seconds of virtual time from each commit until it is in force everywhere.
     """
-    names = [f"entry-{number}" for number in range(ENTRIES_COUNT)]
-    daemons = [_PolledDaemon(name, names, random) for name in names]
+    names = [f"entry-{number}" for number in range(ENTRY_HOSTS_COUNT)]
+    daemons = [_PollingDaemon(name, names, random) for name in names]
     times_s = []
     now_s = POLL_INTERVAL_S
     for version in range(1, changes_count + 1):
@@ -86,18 +88,18 @@
             while daemon.next_s < now_s:
                 daemon.next_s += POLL_INTERVAL_S
         committed_s = now_s
-        waiting = set(names)
-        while waiting:
+        pending = set(names)
+        while pending:
             daemon = min(daemons, key=lambda daemon: daemon.next_s)
             now_s = daemon.next_s
             if daemon.poll(head, daemons):
-                waiting.discard(daemon.name)
+                pending.discard(daemon.name)
         times_s.append(now_s - committed_s)
     return times_s
 
 
 class ConfigurationBenchmark:
-    """Publishes changes on a site, one after another."""
+    """Publishes changes on a site, one at a time."""
 
     def __init__(self, site: Site, random: Random) -> None:
         self._site = site
@@ -105,67 +107,81 @@
         self._configuration = site.compile()
         self._version = 1
 
-    def changes(self, count: int) -> list[float]:
+    def measure_changes(self, count: int) -> list[float]:
         """
-        :returns: time of each change until it is in force everywhere.
+        :returns: seconds from each commit until it is in force everywhere.
         """
         commits = []
         for _ in range(count):
             time.sleep(self._random.uniform(0.0, POLL_INTERVAL_S))
             commits.append(self._publish())
-            self._wait(commits[-1], lambda: None)
-        return self._times(commits)
+            self._wait_until_in_force(commits[-1], lambda: None)
+        return self._durations_s(commits)
 
-    def store_down(self, frozen: str | None = None) -> list[float]:
-        """Takes the store down right after each commit; freezes a daemon, if named.
+    def measure_store_outages(
+        self, frozen_entry_host: str | None = None
+    ) -> list[float]:
+        """Makes the store unavailable right after each commit.
 
-        :returns: time of each change until it is in force everywhere.
+        :param frozen_entry_host: entry host whose daemon is frozen (SIGSTOP), if any.
+        :returns: seconds from each commit until it is in force everywhere.
         """
         commits = []
         for _ in range(FAULT_ROUNDS_COUNT):
             time.sleep(self._random.uniform(0.0, POLL_INTERVAL_S))
-            if frozen is not None:
-                self._site.signal(frozen, signal.SIGSTOP)
+            if frozen_entry_host is not None:
+                self._site.signal(frozen_entry_host, signal.SIGSTOP)
             try:
                 commits.append(self._publish())
-                down = {"service": "tables", "kind": "down", "duration_s": STORE_DOWN_S}
-                self._site.set_fault(down)
-                time.sleep(FROZEN_S if frozen else 0.0)
+                fault = {
+                    "service": "tables",
+                    "kind": "down",
+                    "duration_s": STORE_OUTAGE_S,
+                }
+                self._site.set_fault(fault)
+                time.sleep(FROZEN_S if frozen_entry_host else 0.0)
             finally:
-                if frozen is not None:
-                    self._site.signal(frozen, signal.SIGCONT)
-            self._wait(commits[-1], self._site.clear_faults)
-        return self._times(commits)
+                if frozen_entry_host is not None:
+                    self._site.signal(frozen_entry_host, signal.SIGCONT)
+            self._wait_until_in_force(commits[-1], self._site.clear_faults)
+        return self._durations_s(commits)
 
     def _publish(self) -> Commit:
         base = self._version
-        publish(self._site, changed(self._configuration, base), base)
+        publish(self._site, with_changed_weight(self._configuration, base), base)
         committed_s = time.time()
         self._version += 1
         return Commit(self._version, committed_s)
 
-    def _wait(self, commit: Commit, done: Callable[[], object]) -> None:
-        """Waits by the logs, which costs the daemons nothing."""
-        while math.isinf(self._time(commit)):
-            if time.time() - commit.committed_s > LIMIT_S:
+    def _wait_until_in_force(
+        self, commit: Commit, on_wait_ended: Callable[[], object]
+    ) -> None:
+        """Waits until the version is in force on all daemons or the timeout expires.
+
+        Reads the logs, which puts no load on the daemons.
+        """
+        while math.isinf(self._duration_s(commit)):
+            if time.time() - commit.committed_s > CHANGE_TIMEOUT_S:
                 break
             time.sleep(0.05)
-        done()
+        on_wait_ended()
 
-    def _times(self, commits: list[Commit]) -> list[float]:
-        return [self._time(commit) for commit in commits]
+    def _durations_s(self, commits: list[Commit]) -> list[float]:
+        return [self._duration_s(commit) for commit in commits]
 
-    def _time(self, commit: Commit) -> float:
+    def _duration_s(self, commit: Commit) -> float:
         """
-        :returns: seconds until the last daemon had the version or a later one in force.
+        :returns: seconds until this version or a later one was in force on all daemons;
+            infinite if it isn't yet.
         """
         times = (
-            self._in_force_s(entry, commit.version) for entry in self._site.entries
+            self._in_force_s(entry_host, commit.version)
+            for entry_host in self._site.entries
         )
         return max(times) - commit.committed_s
 
-    def _in_force_s(self, entry: str, version: int) -> float:
-        for line in self._site.logs(entry).splitlines():
+    def _in_force_s(self, entry_host: str, version: int) -> float:
+        for line in self._site.logs(entry_host).splitlines():
             if '"configuration_in_force"' not in line:
                 continue
             event = json.loads(line)
@@ -175,49 +191,49 @@
 
 
 def _print_times(name: str, times_s: list[float], target_s: float | None) -> None:
-    ordered = sorted(times_s)
-    p99_s = quantile(ordered, 0.99)
+    sorted_s = sorted(times_s)
+    p99_s = quantile(sorted_s, 0.99)
     verdict = ""
     if target_s is not None:
         outcome = "met" if p99_s <= target_s else "missed"
         verdict = f"; target p99 {target_s:.0f} s: {outcome}"
     print(
-        f"{name}, {len(ordered)} changes: p50 {quantile(ordered, 0.5):.2f} s, p99 "
-        f"{p99_s:.2f} s, worst {ordered[-1]:.2f} s{verdict}"
+        f"{name}, {len(sorted_s)} changes: p50 {quantile(sorted_s, 0.5):.2f} s, p99 "
+        f"{p99_s:.2f} s, worst {sorted_s[-1]:.2f} s{verdict}"
     )
 
 
 def main() -> None:
-    """Prints the times of the baseline, without faults and under faults."""
+    """Prints the times of the baseline and of the site, without and under faults."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--changes-count", type=int, default=30)
     options = parser.parse_args()
-    print(f"{datetime.now():%Y-%m-%d %H:%M}, {load_line()}")
+    print(f"{datetime.now():%Y-%m-%d %H:%M}, {describe_load()}")
     random = Random(options.seed)
     with tempfile.TemporaryDirectory() as name:
         deployment = ROOT / "deployments" / "ondangwa"
         site = Site(deployment, Path(name), port_shift=PORT_SHIFT)
-        polled_s = polling_alone(site.compile(), random, options.changes_count)
+        polled_s = simulate_polling(site.compile(), random, options.changes_count)
         _print_times("polling alone (virtual time)", polled_s, None)
         try:
             site.start()
             benchmark = ConfigurationBenchmark(site, random)
-            times_s = benchmark.changes(options.changes_count)
+            times_s = benchmark.measure_changes(options.changes_count)
             _print_times("site", times_s, TARGET_S)
             _print_times(
-                f"store down for {STORE_DOWN_S:.0f} s right after the commit",
-                benchmark.store_down(),
-                TARGET_FAULTS_S,
+                f"store unavailable for {STORE_OUTAGE_S:.0f} s right after the commit",
+                benchmark.measure_store_outages(),
+                TARGET_UNDER_FAULTS_S,
             )
             _print_times(
-                f"same with {FROZEN_ENTRY} frozen for {FROZEN_S:.0f} s",
-                benchmark.store_down(FROZEN_ENTRY),
-                TARGET_FAULTS_S,
+                f"same with {FROZEN_ENTRY_HOST} frozen for {FROZEN_S:.0f} s",
+                benchmark.measure_store_outages(FROZEN_ENTRY_HOST),
+                TARGET_UNDER_FAULTS_S,
             )
         finally:
             site.stop()
-    print(load_line())
+    print(describe_load())
 
 
 if __name__ == "__main__":
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,34 +1,41 @@
-"""Overload of one queue: what other work keeps, compared with one FIFO.
+"""Measures how far a flood of one queue affects other work, compared with one FIFO.
 
-Run ``python -m benchmarks.flood --seed 1``. Virtual time; no network.
+A flood is an overload of one service's queue by the requests of one team. Run
+``python -m benchmarks.flood --seed 1``. It simulates a site in virtual time, without
+network.
 """
 
 import argparse
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from benchmarks.flood_load import ENTRIES_COUNT, FLOODING_TEAM, SLOTS_COUNT, Scenario
-from benchmarks.flood_sites import FifoSite, OwnedSite, Result, Site
+from benchmarks.flood_load import (
+    ENTRY_HOSTS_COUNT,
+    FLOODING_TEAM,
+    SLOTS_COUNT,
+    Scenario,
+)
+from benchmarks.flood_sites import FifoModel, QueueOwnerModel, RequestResult, SiteModel
 from sycamorecroft.configuration.fleet import Urgency
 
 FLOODS = (("backoffice", Urgency.BULK), ("rating", Urgency.URGENT))
 
 
-class Figure(NamedTuple):
-    """Measured value, the baseline's, and the target if docs/design.md sets one."""
+class Comparison(NamedTuple):
+    """Values of queue owners and of the FIFO, with the target if there is one."""
 
     name: str
     value: float
     baseline: float
     target: float | None
-    at_most: bool
+    is_upper_bound: bool
 
 
 class Runs(NamedTuple):
-    """Results of one model without and with the flood, arrivals of the window only."""
+    """Results of one model without and with a flood, for arrivals after the warm-up."""
 
-    calm: list[Result]
-    flooded: list[Result]
+    without_flood: list[RequestResult]
+    with_flood: list[RequestResult]
 
 
 def main() -> int:
@@ -41,47 +48,53 @@
     parser.add_argument("--killed-hosts", type=int, default=0)
     options = parser.parse_args()
     missed_count = 0
-    for flooded in FLOODS:
+    for flood in FLOODS:
         print(
-            f"flood of {flooded[0]} ({flooded[1]}), seed {options.seed}, "
+            f"flood of {flood[0]} ({flood[1]}), seed {options.seed}, "
             f"{options.killed_hosts} entry hosts killed"
         )
         scenario = Scenario(
-            options.seed, 3.0, options.window_s, flooded, options.killed_hosts
+            options.seed, 3.0, options.window_s, flood, options.killed_hosts
         )
-        own = measure_runs(OwnedSite, scenario)
-        fifo = measure_runs(FifoSite, scenario)
-        for figure in figures(scenario, own, fifo):
-            missed_count += not _print(figure)
+        owner_runs = measure_runs(QueueOwnerModel, scenario)
+        fifo_runs = measure_runs(FifoModel, scenario)
+        for comparison in compare_models(scenario, owner_runs, fifo_runs):
+            missed_count += not _print_comparison(comparison)
     return 1 if missed_count else 0
 
 
-def measure_runs(site: type[Site], scenario: Scenario) -> Runs:
+def measure_runs(model: type[SiteModel], scenario: Scenario) -> Runs:
     """
-    :returns: results of the model without and with the scenario's overload.
+    :returns: results of the model without and with the scenario's flood.
     """
-    calm = scenario._replace(flooded=None, entries_killed_count=0)
-    return Runs(*(_in_window(site(case), case) for case in (calm, scenario)))
+    without_flood = scenario._replace(flood=None, killed_entry_hosts_count=0)
+    return Runs(
+        *(_in_window(model(variant), variant) for variant in (without_flood, scenario))
+    )
 
 
-def _in_window(site: Site, scenario: Scenario) -> list[Result]:
-    return [r for r in site.run() if r.arrival.arrived_s >= scenario.warm_up_s]
+def _in_window(model: SiteModel, scenario: Scenario) -> list[RequestResult]:
+    return [r for r in model.run() if r.arrival.arrived_s >= scenario.warm_up_s]
 
 
-def figures(scenario: Scenario, own: Runs, fifo: Runs) -> Iterable[Figure]:
+def compare_models(
+    scenario: Scenario, owner_runs: Runs, fifo_runs: Runs
+) -> Iterable[Comparison]:
     """
-    :returns: figures of both models, with targets where docs/design.md sets one.
+    :returns: comparisons of both models, with targets where docs/design.md sets them.
     """
 
     def compare(
         name: str,
         measure: Callable[[Runs], float],
         target: float | None = None,
-        at_most: bool = False,
-    ) -> Figure:
-        return Figure(name, measure(own), measure(fifo), target, at_most)
+        is_upper_bound: bool = False,
+    ) -> Comparison:
+        return Comparison(
+            name, measure(owner_runs), measure(fifo_runs), target, is_upper_bound
+        )
 
-    service, flood_class = scenario.flooded
+    service, flood_urgency = scenario.flood
     yield compare(
         "other queues: goodput ratio to no overload, worst queue",
         lambda runs: _worst_queue(runs, service, _goodput_ratio, min),
@@ -99,62 +112,71 @@
             lambda runs, urgency=urgency: _goodput_ratio(
                 _select(runs, lambda r: _is_other_team(r, service, urgency))
             ),
-            0.99 if urgency is flood_class else None,
+            0.99 if urgency is flood_urgency else None,
         )
     yield compare(
-        "same queue: slot time in the owner's share used by work in time",
-        lambda runs: _useful_ratio(runs.flooded, scenario, _share_count(scenario)),
+        "same queue: slot time in the owner's share used by requests in time",
+        lambda runs: _useful_ratio(
+            runs.with_flood, scenario, _grantable_slots_count(scenario)
+        ),
         0.95,
     )
-    if scenario.entries_killed_count:
+    if scenario.killed_entry_hosts_count:
         yield compare(
-            "same queue: slot time of the whole pool used by work in time",
-            lambda runs: _useful_ratio(runs.flooded, scenario, SLOTS_COUNT),
+            "same queue: slot time of the whole pool used by requests in time",
+            lambda runs: _useful_ratio(runs.with_flood, scenario, SLOTS_COUNT),
         )
     yield compare(
         "urgent work, all queues: longest start delay, s",
-        lambda runs: max(_urgent_delays(runs.flooded)),
+        lambda runs: max(_urgent_delays(runs.with_flood)),
         1.3,
         True,
     )
     yield compare(
-        "same queue, urgent work of other teams: share refused or late",
+        "same queue, urgent work of other teams: ratio refused or late",
         lambda runs: (
             1
-            - _good_share(
+            - _good_ratio(
                 _select(
                     runs, lambda r: _is_other_team(r, service, Urgency.URGENT)
-                ).flooded
+                ).with_flood
             )
         ),
     )
 
 
-def _print(figure: Figure) -> bool:
-    is_met = is_target_met(figure, figure.value)
-    line = f"  {figure.name}: {figure.value:.3f}, baseline {figure.baseline:.3f}"
-    if figure.target is None:
+def _print_comparison(comparison: Comparison) -> bool:
+    is_met = is_target_met(comparison, comparison.value)
+    line = (
+        f"  {comparison.name}: {comparison.value:.3f}, "
+        f"baseline {comparison.baseline:.3f}"
+    )
+    if comparison.target is None:
         print(f"{line}, no target")
         return True
-    sign = "<=" if figure.at_most else ">="
-    print(f"{line}, target {sign} {figure.target}: {'met' if is_met else 'MISSED'}")
+    sign = "<=" if comparison.is_upper_bound else ">="
+    print(f"{line}, target {sign} {comparison.target}: {'met' if is_met else 'MISSED'}")
     return is_met
 
 
-def is_target_met(figure: Figure, value: float) -> bool:
+def is_target_met(comparison: Comparison, value: float) -> bool:
     """
-    :param value: the figure's own value, or that of the baseline.
+    :param value: value to judge: that of the comparison or that of its baseline.
     """
-    if figure.target is None:
+    if comparison.target is None:
         return True
-    return value <= figure.target if figure.at_most else value >= figure.target
+    return (
+        value <= comparison.target
+        if comparison.is_upper_bound
+        else value >= comparison.target
+    )
 
 
-def _select(runs: Runs, wanted: Callable[[Result], bool]) -> Runs:
-    return Runs(*([r for r in results if wanted(r)] for results in runs))
+def _select(runs: Runs, predicate: Callable[[RequestResult], bool]) -> Runs:
+    return Runs(*([r for r in results if predicate(r)] for results in runs))
 
 
-def _is_other_team(result: Result, service: str, urgency: Urgency) -> bool:
+def _is_other_team(result: RequestResult, service: str, urgency: Urgency) -> bool:
     arrival = result.arrival
     is_other = arrival.team != FLOODING_TEAM
     return is_other and arrival.service == service and arrival.urgency is urgency
@@ -162,11 +184,11 @@
 
 def _worst_queue(
     runs: Runs,
-    flooded: str,
+    flooded_service: str,
     measure: Callable[[Runs], float],
     worst: Callable[[Iterable[float]], float],
 ) -> float:
-    services = {r.arrival.service for r in runs.calm} - {flooded}
+    services = {r.arrival.service for r in runs.without_flood} - {flooded_service}
     return worst(
         measure(_select(runs, lambda r, name=name: r.arrival.service == name))
         for name in sorted(services)
@@ -179,39 +201,42 @@
 
 
 def _p99_ratio(runs: Runs) -> float:
-    calm, flooded = (_p99_s(results) for results in runs)
-    return flooded / calm
+    without_flood_s, with_flood_s = (_p99_s(results) for results in runs)
+    return with_flood_s / without_flood_s
 
 
-def _p99_s(results: list[Result]) -> float:
+def _p99_s(results: list[RequestResult]) -> float:
     times_s = sorted(r.end_s - r.arrival.arrived_s for r in results if r.is_good)
     return times_s[int(0.99 * (len(times_s) - 1))] if times_s else float("inf")
 
 
-def _good_share(results: list[Result]) -> float:
+def _good_ratio(results: list[RequestResult]) -> float:
     return sum(r.is_good for r in results) / len(results)
 
 
-def _share_count(scenario: Scenario) -> int:
+def _grantable_slots_count(scenario: Scenario) -> int:
     """
-    :returns: slots of a pool that its owner may grant when there may be two owners
-        (section 5.1 of docs/design.md).
+    :returns: slots of a pool that its owner may grant. While some entry hosts are not
+        live, a second owner may exist among them, so the owner grants only the share
+        of the live ones (section 5.1 of docs/design.md).
     """
-    seen_count = ENTRIES_COUNT - scenario.entries_killed_count
-    return SLOTS_COUNT * seen_count // ENTRIES_COUNT
+    live_count = ENTRY_HOSTS_COUNT - scenario.killed_entry_hosts_count
+    return SLOTS_COUNT * live_count // ENTRY_HOSTS_COUNT
 
 
-def _useful_ratio(results: list[Result], scenario: Scenario, slots_count: int) -> float:
-    """Held slot time of work that met its deadline, by slot time of the window."""
+def _useful_ratio(
+    results: list[RequestResult], scenario: Scenario, slots_count: int
+) -> float:
+    """Returns the ratio of slot time that requests within their deadline used."""
     useful_s = 0.0
     for r in results:
-        if r.is_good and r.arrival.service == scenario.flooded[0]:
+        if r.is_good and r.arrival.service == scenario.flood[0]:
             overlap_s = min(r.end_s, scenario.end_s) - (r.end_s - r.slot_s)
             useful_s += max(0.0, min(r.slot_s, overlap_s))
     return useful_s / (slots_count * scenario.window_s)
 
 
-def _urgent_delays(results: list[Result]) -> Iterable[float]:
+def _urgent_delays(results: list[RequestResult]) -> Iterable[float]:
     return [
         r.start_delay_s
         for r in results
--- a/benchmarks/jobs.py
+++ b/benchmarks/jobs.py
@@ -1,8 +1,8 @@
-"""Placement and control of jobs at 40, 200 and 1,000 workers.
+"""Measures the placement and control of jobs at 40, 200 and 1,000 workers.
 
-Run: ``python benchmarks/jobs.py [--seed N]``. The baseline is a naive first fit in
-declared order with declared sizes, which are wrong by a factor drawn for each service;
-it runs on the same jobs and workers.
+Run ``python benchmarks/jobs.py [--seed N]``. The baseline is first fit in submission
+order by declared sizes, on the same jobs and workers. Declared sizes differ from the
+real ones by a factor that depends on the service.
 """
 
 import argparse
@@ -35,13 +35,13 @@
 WORKERS_COUNTS = (40, 200, 1000)
 JOBS_PER_WORKER = 14
 SERVICES_COUNT = 5
-OBSERVED_COUNT = 100
+OBSERVED_JOBS_PER_SERVICE_COUNT = 100
 DECLARED_FACTORS = (0.5, 1.0, 2.0, 4.0)
 WORKER_SIZES = (TaskSize(16.0, 64, 0), TaskSize(64.0, 128, 4))
 
 
 class Job(NamedTuple):
-    """A job with its declared size, and the size that it really uses."""
+    """A job with its declared size and the size that it actually uses."""
 
     job_id: str
     service: str
@@ -49,8 +49,11 @@
     used: TaskSize
 
 
-class Outcome(NamedTuple):
-    """Jobs placed; those on workers whose jobs together use more than there is."""
+class PlacementResult(NamedTuple):
+    """Jobs placed, and those of them on overcommitted workers.
+
+    A worker is overcommitted if its jobs together use more than its size.
+    """
 
     placed_count: int
     overcommitted_count: int
@@ -66,9 +69,10 @@
     )
 
 
-def make_jobs(source: random.Random, count: int, prefix: str) -> list[Job]:
+def make_jobs(rng: random.Random, count: int, prefix: str) -> list[Job]:
     """
-    :returns: jobs of services whose declared sizes are wrong by a factor each.
+    :returns: jobs whose declared sizes differ from the used ones by a factor that
+        depends on the service.
     """
     factors = {
         f"service-{n}": DECLARED_FACTORS[n % len(DECLARED_FACTORS)]
@@ -76,10 +80,10 @@
     }
     jobs = []
     for number in range(count):
-        service = source.choice(sorted(factors))
-        accelerators_count = 1 if source.random() < 0.1 else 0
-        typical = TaskSize(2.0 ** source.randint(0, 3), 8, accelerators_count)
-        used = scaled(typical, source.uniform(0.8, 1.0))
+        service = rng.choice(sorted(factors))
+        accelerators_count = 1 if rng.random() < 0.1 else 0
+        typical = TaskSize(2.0 ** rng.randint(0, 3), 8, accelerators_count)
+        used = scaled(typical, rng.uniform(0.8, 1.0))
         declared = scaled(typical, factors[service])
         jobs.append(Job(f"{prefix}-{number}", service, declared, used))
     return jobs
@@ -87,14 +91,14 @@
 
 def first_fit(workers: Sequence[Worker], jobs: Sequence[Job]) -> dict[str, str]:
     """
-    :returns: workers by job: the first with room for the declared size.
+    :returns: workers by job: the first whose free resources fit the declared size.
     """
-    free = {worker.name: worker.size for worker in workers}
+    free_sizes = {worker.name: worker.size for worker in workers}
     placed = {}
     for job in jobs:
-        for name, size in free.items():
+        for name, size in free_sizes.items():
             if fits(job.declared, size):
-                free[name] = TaskSize(
+                free_sizes[name] = TaskSize(
                     *(a - b for a, b in zip(size, job.declared, strict=True))
                 )
                 placed[job.job_id] = name
@@ -106,7 +110,7 @@
     workers: Sequence[Worker], jobs: Sequence[Job], usage: UsageStatistics
 ) -> dict[str, str]:
     """
-    :returns: workers by job, by the placement of the package.
+    :returns: workers by job, as placed by sycamorecroft by corrected sizes.
     """
     queued = [
         QueuedJob(
@@ -119,61 +123,68 @@
         for number, job in enumerate(jobs)
     ]
     teams = {f"team-{n}": TeamShare(1.0 + n % 3, len(jobs)) for n in range(7)}
-    state = PlacementInput(
+    placement_input = PlacementInput(
         workers, {}, frozenset(), queued, teams, {}, 0.0, 60.0, len(jobs)
     )
-    return {item.job_id: item.worker for item in place(state)}
+    return {item.job_id: item.worker for item in place(placement_input)}
 
 
-def judge(
+def evaluate_placement(
     workers: Sequence[Worker], jobs: Sequence[Job], placed: dict[str, str], cpu_s: float
-) -> Outcome:
+) -> PlacementResult:
     """
-    :returns: the placement by the sizes that are really used.
+    :returns: quality of the placement, measured with the sizes actually used.
     """
     used = {worker.name: TaskSize(0.0, 0, 0) for worker in workers}
     for job in jobs:
         name = placed.get(job.job_id)
         if name is not None:
             used[name] = TaskSize(*map(sum, zip(used[name], job.used, strict=True)))
-    over = {
+    overcommitted = {
         worker.name for worker in workers if not fits(used[worker.name], worker.size)
     }
-    total = sum(worker.size.processors_count for worker in workers)
-    taken = sum(
+    capacity_count = sum(worker.size.processors_count for worker in workers)
+    used_processors_count = sum(
         min(used[worker.name].processors_count, worker.size.processors_count)
         for worker in workers
     )
-    overcommitted_count = sum(name in over for name in placed.values())
-    return Outcome(len(placed), overcommitted_count, taken / total, cpu_s * 1000)
+    overcommitted_count = sum(name in overcommitted for name in placed.values())
+    return PlacementResult(
+        len(placed),
+        overcommitted_count,
+        used_processors_count / capacity_count,
+        cpu_s * 1000,
+    )
 
 
 def compare_placement(workers_count: int, seed: int) -> None:
-    source = random.Random(seed)
+    rng = random.Random(seed)
     workers = [
         Worker(f"w{n}", WORKER_SIZES[n % len(WORKER_SIZES)], True)
         for n in range(workers_count)
     ]
     usage = UsageStatistics()
-    for job in make_jobs(source, OBSERVED_COUNT * SERVICES_COUNT, "past"):
+    for job in make_jobs(rng, OBSERVED_JOBS_PER_SERVICE_COUNT * SERVICES_COUNT, "past"):
         usage.add(job.service, declared=job.declared, peak=job.used)
-    jobs = make_jobs(source, workers_count * JOBS_PER_WORKER, "job")
-    for name, decide in (
+    jobs = make_jobs(rng, workers_count * JOBS_PER_WORKER, "job")
+    for name, place_jobs in (
         ("first fit, declared", lambda: first_fit(workers, jobs)),
         ("best fit, corrected", lambda: best_fit(workers, jobs, usage)),
     ):
-        begin_s = time.process_time()
-        placed = decide()
-        outcome = judge(workers, jobs, placed, time.process_time() - begin_s)
+        started_s = time.process_time()
+        placed = place_jobs()
+        result = evaluate_placement(
+            workers, jobs, placed, time.process_time() - started_s
+        )
         print(
-            f"{workers_count:7} {len(jobs):6} {name:20} {outcome.placed_count:7} "
-            f"{outcome.overcommitted_count:11} {outcome.used_ratio:9.1%} "
-            f"{outcome.cpu_ms:8.1f} {outcome.cpu_ms * 1000 / len(jobs):9.1f}"
+            f"{workers_count:7} {len(jobs):6} {name:20} {result.placed_count:7} "
+            f"{result.overcommitted_count:11} {result.used_ratio:9.1%} "
+            f"{result.cpu_ms:8.1f} {result.cpu_ms * 1000 / len(jobs):9.1f}"
         )
 
 
 class StandinTime:
-    """Processor time spent within calls to the platform's stand-ins."""
+    """Sums the processor time spent in calls to the platform's stand-ins."""
 
     def __init__(self) -> None:
         self.total_s = 0.0
@@ -183,8 +194,8 @@
         self.total_s += sign * time.process_time()
 
 
-def control_jobs(workers_count: int, jobs_count: int) -> None:
-    """Runs jobs of 10 s through a controller, from submission to their end."""
+def measure_control(workers_count: int, jobs_count: int) -> None:
+    """Prints the cost of running jobs of 10 s, from submission until all have ended."""
     pool = JobPool(workers_count, settings=JobSettings())
     standins = StandinTime()
     size = TaskSize(2.0, GIB, 0)
@@ -199,9 +210,9 @@
     steps_count, cpu_s = 0, 0.0
     while pool.states()["succeeded"] < jobs_count:
         pool.controllers[0].lease.maintain()
-        begin_s = time.process_time() - standins.total_s
+        started_s = time.process_time() - standins.total_s
         controller.step(pool.clock.monotonic_s())
-        cpu_s += time.process_time() - standins.total_s - begin_s
+        cpu_s += time.process_time() - standins.total_s - started_s
         steps_count += 1
         pool.clock.advance(0.5)
     counts = pool.platform.tables.call_counts()
@@ -218,7 +229,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    print(f"placement, seed {options.seed}; sizes declared wrong by a factor of")
+    print(f"placement, seed {options.seed}; declared sizes differ by a factor of")
     print(f"{DECLARED_FACTORS} by service; 'over' are jobs on overcommitted workers")
     print(
         f"{'workers':>7} {'jobs':>6} {'variant':20} {'placed':>7} {'over':>11} "
@@ -226,13 +237,13 @@
     )
     for workers_count in WORKERS_COUNTS:
         compare_placement(workers_count, options.seed)
-    print("control of one pool; a step each 0.5 s, without the stand-ins' time")
+    print("control of one pool, a step every 0.5 s; excludes the stand-ins' time")
     print(
         f"{'workers':>7} {'jobs':>6} {'elapsed s':>9} {'writes':>7} {'writes/job':>11} "
         f"{'writes/s':>9} {'cpu ms/step':>11}"
     )
     for workers_count in WORKERS_COUNTS:
-        control_jobs(workers_count, workers_count * 4)
+        measure_control(workers_count, workers_count * 4)
 
 
 if __name__ == "__main__":
--- a/benchmarks/moves.py
+++ b/benchmarks/moves.py
@@ -1,13 +1,13 @@
-"""Host moves over a day: ``python -m benchmarks.moves [--seed N]``.
+"""Counts host moves over a day: ``python -m benchmarks.moves [--seed N]``.
 
 Model: 5 pools of 8 hosts (section 1.2 of docs/design.md), time in steps of 10 s. Each
-queue in turn has bursts of 5 times its mean for 10 to 40 s, and for some hours of the
-day a sustained peak that its pool can't serve alone; otherwise its demand is a
-twentieth of the mean. A move takes one step, in which the host serves no pool.
+queue in turn has bursts of 5 times its mean demand for 10 to 40 s, and for some hours
+of the day a sustained peak that exceeds the capacity of its pool; otherwise its demand
+is a twentieth of the mean. A move takes one step, during which the host serves no pool.
 
-Baselines: ``follow`` changes the sizes of pools whenever demand changes and gives
-unneeded hosts back to the spare pool; ``lazy`` moves only when a pool is short, and
-at once. Short host hours are demand above the hosts in service.
+Baselines: ``follow`` resizes pools whenever demand changes and returns unneeded hosts
+to the spare pool at once; ``lazy`` moves a host only when a pool has too few, and does
+so at once. Short host hours are the demand in excess of the hosts in service.
 """
 
 import argparse
@@ -38,7 +38,7 @@
 MAX_UNAVAILABLE_RATIO = 0.25
 STEP_S = 10.0
 DAY_S = 86_400.0
-MEAN_HOSTS = 2.0
+MEAN_DEMAND_HOSTS = 2.0
 PEAK_FACTOR = 5.0
 TARGET_RATIO = 1 / 3
 
@@ -47,41 +47,48 @@
     """Result of one policy over the day."""
 
     moves_count: int
-    short_host_hours: float
-    broken_budgets_count: int
+    shortage_host_hours: float
+    budget_violations_count: int
 
 
-def make_demand(source: random.Random) -> list[Mapping[str, float]]:
+def make_demand(rng: random.Random) -> list[Mapping[str, float]]:
     """
     :returns: demand of each pool in hosts, for each step of the day.
     """
     steps_count = int(DAY_S / STEP_S)
-    demand = [dict.fromkeys(POOLS, MEAN_HOSTS / 20) for _ in range(steps_count)]
+    demand = [dict.fromkeys(POOLS, MEAN_DEMAND_HOSTS / 20) for _ in range(steps_count)]
     _add_sustained_peaks(demand)
-    _add_bursts(demand, source)
+    _add_bursts(demand, rng)
     return [
-        {pool: value * source.uniform(0.95, 1.05) for pool, value in item.items()}
-        for item in demand
+        {
+            pool: value * rng.uniform(0.95, 1.05)
+            for pool, value in demand_by_pool.items()
+        }
+        for demand_by_pool in demand
     ]
 
 
 def _add_sustained_peaks(demand: list[dict[str, float]]) -> None:
     for number, pool in enumerate(POOLS):
-        for step, item in enumerate(demand):
+        for step, demand_by_pool in enumerate(demand):
             distance = abs(step / len(demand) * len(POOLS) - number - 0.5)
             if distance < 0.75:
                 level = math.cos(distance / 0.75 * math.pi / 2)
-                item[pool] = max(item[pool], MEAN_HOSTS * PEAK_FACTOR * level)
+                demand_by_pool[pool] = max(
+                    demand_by_pool[pool], MEAN_DEMAND_HOSTS * PEAK_FACTOR * level
+                )
 
 
-def _add_bursts(demand: list[dict[str, float]], source: random.Random) -> None:
-    step, turn = 0, 0
+def _add_bursts(demand: list[dict[str, float]], rng: random.Random) -> None:
+    step, burst_number = 0, 0
     while step < len(demand):
-        pool = POOLS[turn % len(POOLS)]
-        for item in demand[step : step + source.randint(1, 4)]:
-            item[pool] = max(item[pool], MEAN_HOSTS * PEAK_FACTOR)
-        step += source.randint(4, 12)
-        turn += 1
+        pool = POOLS[burst_number % len(POOLS)]
+        for demand_by_pool in demand[step : step + rng.randint(1, 4)]:
+            demand_by_pool[pool] = max(
+                demand_by_pool[pool], MEAN_DEMAND_HOSTS * PEAK_FACTOR
+            )
+        step += rng.randint(4, 12)
+        burst_number += 1
 
 
 class Policy(ABC):
@@ -92,18 +99,19 @@
         self, hosts: Sequence[HostRecord], demand: Mapping[str, float], now_s: float
     ) -> Sequence[Move]:
         """
-        :returns: moves to begin now.
+        :returns: moves to start in this step.
         """
 
 
 class FollowPolicy(Policy):
-    """Sets each pool to what it needs now.
+    """Resizes each pool to its current demand.
 
-    :param gives_back: whether unneeded hosts go back to the spare pool at once.
+    :param is_returning_unneeded: whether unneeded hosts return to the spare pool at
+        once.
     """
 
-    def __init__(self, *, gives_back: bool) -> None:
-        self._gives_back = gives_back
+    def __init__(self, *, is_returning_unneeded: bool) -> None:
+        self._is_returning_unneeded = is_returning_unneeded
 
     def choose(
         self, hosts: Sequence[HostRecord], demand: Mapping[str, float], now_s: float
@@ -113,18 +121,20 @@
             pool: PoolNeed(count, count, math.inf)
             for pool, count in zip(POOLS, counts, strict=True)
         }
-        if self._gives_back:
+        if self._is_returning_unneeded:
             needs[SPARE_POOL] = PoolNeed(10**6, 10**6, math.inf)
-        others = {pool: need for pool, need in needs.items() if pool != SPARE_POOL}
-        urgent = dict(others) | {SPARE_POOL: PoolNeed(0, counts[-1], math.inf)}
-        moves = list(_plan(hosts, urgent, price_s=0.0))
-        if self._gives_back and not moves:
-            moves = list(_plan(hosts, needs, price_s=0.0))
+        other_needs = {pool: need for pool, need in needs.items() if pool != SPARE_POOL}
+        urgent_needs = dict(other_needs) | {
+            SPARE_POOL: PoolNeed(0, counts[-1], math.inf)
+        }
+        moves = list(_plan(hosts, urgent_needs, move_cost_s=0.0))
+        if self._is_returning_unneeded and not moves:
+            moves = list(_plan(hosts, needs, move_cost_s=0.0))
         return moves
 
 
 class PlannerPolicy(Policy):
-    """The planner of section 5.8 of docs/design.md."""
+    """Applies the move planner of section 5.8 of docs/design.md."""
 
     def __init__(self) -> None:
         self._trackers = {pool: DemandTracker() for pool in POOLS}
@@ -137,66 +147,75 @@
         for pool, tracker in self._trackers.items():
             tracker.observe(demand[pool], now_s)
             needs[pool] = tracker.need(supplies.get(pool, 0), now_s)
-        return _plan(hosts, needs, price_s=MOVE_COST_S)
+        return _plan(hosts, needs, move_cost_s=MOVE_COST_S)
 
 
 def _plan(
-    hosts: Sequence[HostRecord], needs: Mapping[str, PoolNeed], *, price_s: float
+    hosts: Sequence[HostRecord], needs: Mapping[str, PoolNeed], *, move_cost_s: float
 ) -> Sequence[Move]:
-    sizes = Counter(host["pool"] for host in hosts)
+    pool_sizes = Counter(host["pool"] for host in hosts)
     budgets = {
         pool: BudgetRecord(
             pool=pool,
-            hosts_count=sizes[pool],
+            hosts_count=pool_sizes[pool],
             planned_out_count=0,
             failed_out_count=0,
             max_unavailable_ratio=MAX_UNAVAILABLE_RATIO,
         )
         for pool in POOLS
     }
-    return plan_moves(MovePlanInput(tuple(hosts), budgets, needs, cost_s=price_s)).moves
+    return plan_moves(
+        MovePlanInput(tuple(hosts), budgets, needs, cost_s=move_cost_s)
+    ).moves
 
 
 def run_day(policy: Policy, demand: Sequence[Mapping[str, float]]) -> Outcome:
     """
-    :returns: moves, unmet demand and steps that broke a budget.
+    :returns: moves, unmet demand and violations of availability budgets.
     """
     hosts = _new_hosts()
     by_name = {host["host"]: host for host in hosts}
-    moves_count, broken_count, short_s = 0, 0, 0.0
-    for step, item in enumerate(demand):
+    moves_count, violations_count, shortage_host_s = 0, 0, 0.0
+    for step, demand_by_pool in enumerate(demand):
         for host in hosts:
             if host["target_pool"] is not None:
                 host["pool"] = host["target_pool"]
                 host["target_pool"] = None
                 host["state"] = HostState.ACTIVE
-        for move in policy.choose(hosts, item, step * STEP_S):
+        for move in policy.choose(hosts, demand_by_pool, step * STEP_S):
             host = by_name[move.host]
             host["target_pool"] = move.target_pool
             host["state"] = HostState.DRAINING
             moves_count += 1
-        broken_count += _broken_budgets_count(hosts)
+        violations_count += _budget_violations_count(hosts)
         in_service = Counter(
             host["pool"] for host in hosts if host["state"] == HostState.ACTIVE
         )
-        short_s += STEP_S * sum(
-            max(0.0, item[pool] - in_service[pool]) for pool in POOLS
+        shortage_host_s += STEP_S * sum(
+            max(0.0, demand_by_pool[pool] - in_service[pool]) for pool in POOLS
         )
-    return Outcome(moves_count, short_s / 3600, broken_count)
+    return Outcome(moves_count, shortage_host_s / 3600, violations_count)
 
 
-def _broken_budgets_count(hosts: Sequence[HostRecord]) -> int:
-    sizes = Counter(host["pool"] for host in hosts)
-    out = Counter(host["pool"] for host in hosts if host["state"] != HostState.ACTIVE)
-    broken_count = 0
+def _budget_violations_count(hosts: Sequence[HostRecord]) -> int:
+    pool_sizes = Counter(host["pool"] for host in hosts)
+    unavailable_counts = Counter(
+        host["pool"] for host in hosts if host["state"] != HostState.ACTIVE
+    )
+    violations_count = 0
     for pool in POOLS:
         try:
             check_availability_budget(
-                PoolAvailability(pool, sizes[pool], out[pool], MAX_UNAVAILABLE_RATIO)
+                PoolAvailability(
+                    pool,
+                    pool_sizes[pool],
+                    unavailable_counts[pool],
+                    MAX_UNAVAILABLE_RATIO,
+                )
             )
         except InvariantError:
-            broken_count += 1
-    return broken_count
+            violations_count += 1
+    return violations_count
 
 
 def _new_hosts() -> list[HostRecord]:
@@ -225,26 +244,26 @@
     seed = parser.parse_args().seed
     demand = make_demand(random.Random(seed))
     outcomes = {
-        "follow": run_day(FollowPolicy(gives_back=True), demand),
-        "lazy": run_day(FollowPolicy(gives_back=False), demand),
+        "follow": run_day(FollowPolicy(is_returning_unneeded=True), demand),
+        "lazy": run_day(FollowPolicy(is_returning_unneeded=False), demand),
         "planner": run_day(PlannerPolicy(), demand),
     }
     print(f"seed {seed}")
     for name, outcome in outcomes.items():
         print(
             f"{name}: {outcome.moves_count} moves, "
-            f"{outcome.short_host_hours:.1f} short host hours, "
-            f"{outcome.broken_budgets_count} budgets broken"
+            f"{outcome.shortage_host_hours:.1f} short host hours, "
+            f"{outcome.budget_violations_count} budgets broken"
         )
     planner = outcomes["planner"]
     for name in ("follow", "lazy"):
         ratio = planner.moves_count / max(1, outcomes[name].moves_count)
         print(f"moves, planner to {name}: {ratio:.3f}")
     ratio = planner.moves_count / max(1, outcomes["follow"].moves_count)
-    met = ratio <= TARGET_RATIO and planner.broken_budgets_count == 0
+    is_met = ratio <= TARGET_RATIO and planner.budget_violations_count == 0
     print(
         f"target at most {TARGET_RATIO:.2f} of follow, no budget broken: "
-        f"{'met' if met else 'missed'}"
+        f"{'met' if is_met else 'missed'}"
     )
 
 
--- a/benchmarks/owner.py
+++ b/benchmarks/owner.py
@@ -1,7 +1,7 @@
-"""Processor time of a queue owner per request, grant and release.
+"""Measures the processor time of a queue owner per request and release.
 
-Run ``python -m benchmarks.owner --seed 1``. Each request is offered, granted and
-released once. In the busy run all slots are occupied and requests wait.
+Run ``python -m benchmarks.owner --seed 1``. Each request is submitted, granted and
+released once. In the busy run all slots are occupied and requests wait in the queue.
 """
 
 import argparse
@@ -26,7 +26,7 @@
 
 
 class OwnerLoad:
-    """Keeps a fixed number of requests at an owner, on virtual time."""
+    """Keeps a constant number of outstanding requests at an owner, in virtual time."""
 
     def __init__(self, workers_count: int, outstanding_count: int, seed: int) -> None:
         self._random = Random(seed)
@@ -50,7 +50,7 @@
 
     def run(self, requests_count: int) -> Cost:
         """
-        :returns: mean costs over ``requests_count`` requests.
+        :returns: mean cost over ``requests_count`` pairs of a release and a request.
         """
         self.request_ns = self.release_ns = 0
         for _ in range(requests_count):
@@ -74,7 +74,7 @@
         started_ns = time.process_time_ns()
         decisions = self._owner.request(request, self._now_s)
         self.request_ns += time.process_time_ns() - started_ns
-        self._keep(decisions)
+        self._record_grants(decisions)
 
     def _release(self) -> None:
         index = self._random.randrange(len(self._granted))
@@ -86,16 +86,16 @@
         started_ns = time.process_time_ns()
         decisions = self._owner.release(release, self._now_s)
         self.release_ns += time.process_time_ns() - started_ns
-        self._keep(decisions)
+        self._record_grants(decisions)
 
-    def _keep(self, decisions: list) -> None:
+    def _record_grants(self, decisions: list) -> None:
         for decision in decisions:
             if isinstance(decision, SlotGrant):
                 self._granted.append(decision.ticket)
 
 
 def main() -> None:
-    """Prints the cost for each number of workers, idle and busy."""
+    """Prints the cost for each number of workers, with free slots and without."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--requests-count", type=int, default=50_000)
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,9 +1,10 @@
-"""Cost of the path through an entry host, against direct calls of a backend server.
+"""Compares calls through an entry host with direct calls of a backend server.
 
-Run ``python -m benchmarks.path --seed 1``. The baseline, direct calls, runs in turns
-with the calls through an entry host: first a closed loop of two callers, then arrivals
-at a fixed rate, with a small body and one of 3 MB. Processor time is that of all 9
-daemons, less what they use at rest. Target (section 1.7): p50 at most 3 ms more.
+Run ``python -m benchmarks.path --seed 1``. The baseline, direct calls, alternates with
+calls through an entry host: first a closed loop of two callers, then an open loop with
+arrivals at a fixed rate, each with a small body and one of 3 MB. Processor time is that
+of all 9 daemons, less their use at rest. Target (section 1.7 of docs/design.md): at
+most 3 ms added to the p50.
 """
 
 import argparse
@@ -20,7 +21,7 @@
 import urllib3
 
 from benchmarks.site_sizes import ACCOUNT, PORT_SHIFT, TEAM
-from benchmarks.usage import load_line, read_usage
+from benchmarks.usage import describe_load, read_usage
 from standins.load import LoadRun
 from standins.load_plan import FlowBody, PhaseBody, PlanBody
 from standins.load_summary import Sample, Verdict, quantile
@@ -35,19 +36,19 @@
 TIMEOUT_MS = 5000
 
 
-class Size(NamedTuple):
-    """A body size and the rate of arrivals with it."""
+class BodySize(NamedTuple):
+    """A body size and the arrival rate of the open loop with it."""
 
     name: str
     body_bytes: int
     rate_per_s: float
 
 
-SIZES = (Size("small body", 200, 40.0), Size("3 MB body", 3_000_000, 5.0))
+BODY_SIZES = (BodySize("small body", 200, 40.0), BodySize("3 MB body", 3_000_000, 5.0))
 
 
 class Target(NamedTuple):
-    """Where requests are sent."""
+    """Addresses and URL path that requests are sent to."""
 
     name: str
     addresses: tuple[str, ...]
@@ -73,14 +74,14 @@
 class PathBenchmark:
     """Runs loads on one site.
 
-    :param window_s: seconds of each load.
+    :param window_s: duration of each load in seconds.
     """
 
     def __init__(self, site: Site, seed: int, window_s: float) -> None:
         self._site = site
         self._seed = seed
         self._window_s = window_s
-        self._body = Random(seed).randbytes(max(size.body_bytes for size in SIZES))
+        self._body = Random(seed).randbytes(max(size.body_bytes for size in BODY_SIZES))
         first_port = site.inventory.base_port + PORT_SHIFT
         ports = range(first_port, first_port + BACKENDS_COUNT)
         self.targets = (
@@ -93,17 +94,17 @@
                 "/v1/services/{service}/requests",
             ),
         )
-        self._rest_ratio = 0.0
+        self._core_ratio_at_rest = 0.0
 
-    def measure_rest(self) -> None:
-        """Measures what the daemons use at rest, which is not the requests' cost."""
+    def measure_at_rest(self) -> None:
+        """Measures processor use at rest, which is deducted from that of requests."""
         before_s = self._processor_s()
         time.sleep(REST_WINDOW_S)
-        self._rest_ratio = (self._processor_s() - before_s) / REST_WINDOW_S
+        self._core_ratio_at_rest = (self._processor_s() - before_s) / REST_WINDOW_S
 
-    def closed_loop(self, target: Target, size: Size) -> Result:
+    def closed_loop(self, target: Target, size: BodySize) -> Result:
         """
-        :returns: result of two callers that each wait for a response.
+        :returns: result of two callers that send their next request after the response.
         """
         latencies: list[float] = []
         failures: list[str] = []
@@ -114,20 +115,20 @@
                 while time.monotonic() < end_s:
                     self._call(pool, target, size, latencies, failures)
 
-        started_s, used_s = time.monotonic(), self._processor_s()
+        started_s, before_s = time.monotonic(), self._processor_s()
         threads = [threading.Thread(target=call) for _ in range(CALLERS_COUNT)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        used_s = self._used_since(started_s, used_s)
+        used_s = self._processor_since_s(started_s, before_s)
         return Result(tuple(sorted(latencies)), Counter(failures), used_s)
 
     def _call(
         self,
         pool: urllib3.PoolManager,
         target: Target,
-        size: Size,
+        size: BodySize,
         latencies: list[float],
         failures: list[str],
     ) -> None:
@@ -142,11 +143,11 @@
         else:
             failures.append(response.headers.get("Sycamorecroft-Reason", ""))
 
-    def open_rate(
-        self, target: Target, size: Size, *, is_repeatable: bool = True
+    def open_loop(
+        self, target: Target, size: BodySize, *, is_repeatable: bool = True
     ) -> Result:
         """
-        :returns: result of Poisson arrivals at the rate of the size.
+        :returns: result of Poisson arrivals at the rate that belongs to the size.
         """
         flow = FlowBody(
             service=SERVICE,
@@ -167,13 +168,13 @@
             phases=[PhaseBody(name="load", duration_s=self._window_s, flows=[flow])],
         )
         self._seed += 1
-        started_s, used_s = time.monotonic(), self._processor_s()
+        started_s, before_s = time.monotonic(), self._processor_s()
         samples = LoadRun(plan).run()
-        return _result(samples, self._used_since(started_s, used_s))
+        return _result(samples, self._processor_since_s(started_s, before_s))
 
     def claim_writes_count(self) -> int:
         """
-        :returns: writes of claims that the platform has counted so far.
+        :returns: writes for claims that the platform stand-in has counted so far.
         """
         counts = self._site.call(self._site.platform_address, "GET", "/counts").json()
         return sum(
@@ -184,17 +185,17 @@
 
     def _processor_s(self) -> float:
         site = self._site
-        ids = (site.process_id(entry) for entry in site.entries)
-        return sum(read_usage(process_id).processor_s for process_id in ids)
+        process_ids = (site.process_id(entry_host) for entry_host in site.entries)
+        return sum(read_usage(process_id).processor_s for process_id in process_ids)
 
-    def _used_since(self, started_s: float, used_s: float) -> float:
+    def _processor_since_s(self, started_s: float, before_s: float) -> float:
         elapsed_s = time.monotonic() - started_s
-        return self._processor_s() - used_s - self._rest_ratio * elapsed_s
+        return self._processor_s() - before_s - self._core_ratio_at_rest * elapsed_s
 
 
 def _result(samples: list[Sample], processor_s: float) -> Result:
-    good = [sample for sample in samples if sample.verdict is Verdict.GOOD]
-    latencies_s = tuple(sorted(sample.latency_s for sample in good))
+    succeeded = [sample for sample in samples if sample.verdict is Verdict.GOOD]
+    latencies_s = tuple(sorted(sample.latency_s for sample in succeeded))
     failures = Counter(
         f"{sample.verdict} {sample.status} {sample.reason}".rstrip()
         for sample in samples
@@ -203,27 +204,32 @@
     return Result(latencies_s, failures, processor_s)
 
 
-def _print_rounds(name: str, direct: list[Result], entry: list[Result]) -> None:
-    """Prints medians over the rounds; added latency is taken within each round."""
-    added: dict[float, float] = {}
+def _print_comparison(
+    name: str, direct: list[Result], via_entry_host: list[Result]
+) -> None:
+    """Prints medians over the rounds.
+
+    Added latency is computed within each round, before the median.
+    """
+    added_s: dict[float, float] = {}
     for ratio in (0.5, 0.99):
         pairs = [
             (quantile(d.latencies_s, ratio), quantile(e.latencies_s, ratio))
-            for d, e in zip(direct, entry, strict=True)
+            for d, e in zip(direct, via_entry_host, strict=True)
         ]
-        added[ratio] = statistics.median(e - d for d, e in pairs)
+        added_s[ratio] = statistics.median(e - d for d, e in pairs)
         base_ms = statistics.median(d for d, _ in pairs) * 1000
         entry_ms = statistics.median(e for _, e in pairs) * 1000
         print(
             f"{name}, p{ratio * 100:.0f}: direct {base_ms:.2f} ms, entry host "
-            f"{entry_ms:.2f} ms, added {added[ratio] * 1000:.2f} ms"
+            f"{entry_ms:.2f} ms, added {added_s[ratio] * 1000:.2f} ms"
         )
-    verdict = "met" if added[0.5] <= TARGET_ADDED_S else "missed"
+    verdict = "met" if added_s[0.5] <= TARGET_ADDED_S else "missed"
     processor_ms = statistics.median(
-        1000 * result.processor_s / result.requests_count for result in entry
+        1000 * result.processor_s / result.requests_count for result in via_entry_host
     )
-    failures = sum((result.failures for result in entry + direct), Counter())
-    requests_count = sum(result.requests_count for result in entry + direct)
+    failures = sum((result.failures for result in via_entry_host + direct), Counter())
+    requests_count = sum(result.requests_count for result in via_entry_host + direct)
     print(
         f"  target p50 at most 3 ms more: {verdict}; processor time of the daemons "
         f"{processor_ms:.2f} ms a request; {failures.total()} of {requests_count} "
@@ -232,26 +238,29 @@
 
 
 def _measure(benchmark: PathBenchmark, rounds_count: int) -> None:
-    benchmark.measure_rest()
-    direct, entry = benchmark.targets
-    for size in SIZES:
-        for name, load in (
+    benchmark.measure_at_rest()
+    direct, via_entry_host = benchmark.targets
+    for size in BODY_SIZES:
+        for name, run_load in (
             (f"closed loop of {CALLERS_COUNT}", benchmark.closed_loop),
-            (f"{size.rate_per_s:.0f} arrivals/s", benchmark.open_rate),
+            (f"{size.rate_per_s:.0f} arrivals/s", benchmark.open_loop),
         ):
             rounds = [
-                (load(direct, size), load(entry, size)) for _ in range(rounds_count)
+                (run_load(direct, size), run_load(via_entry_host, size))
+                for _ in range(rounds_count)
             ]
-            _print_rounds(
+            _print_comparison(
                 f"{size.name}, {name}", [d for d, _ in rounds], [e for _, e in rounds]
             )
-    _measure_writes(benchmark, entry)
+    _measure_writes(benchmark, via_entry_host)
 
 
-def _measure_writes(benchmark: PathBenchmark, entry: Target) -> None:
+def _measure_writes(benchmark: PathBenchmark, via_entry_host: Target) -> None:
     for name, is_repeatable in (("repeatable", True), ("non-idempotent", False)):
         before_count = benchmark.claim_writes_count()
-        result = benchmark.open_rate(entry, SIZES[0], is_repeatable=is_repeatable)
+        result = benchmark.open_loop(
+            via_entry_host, BODY_SIZES[0], is_repeatable=is_repeatable
+        )
         writes_count = benchmark.claim_writes_count() - before_count
         print(
             f"{name}: {writes_count / result.requests_count:.2f} store writes a "
@@ -262,13 +271,13 @@
 
 
 def main() -> None:
-    """Prints latency and processor time of both paths."""
+    """Prints latency, processor time and store writes of the path."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--window-s", type=float, default=2.0)
     parser.add_argument("--rounds-count", type=int, default=3)
     options = parser.parse_args()
-    print(f"{datetime.now():%Y-%m-%d %H:%M}, {load_line()}")
+    print(f"{datetime.now():%Y-%m-%d %H:%M}, {describe_load()}")
     with tempfile.TemporaryDirectory() as name:
         site = Site(
             ROOT / "deployments" / "ondangwa",
@@ -282,7 +291,7 @@
             _measure(benchmark, options.rounds_count)
         finally:
             site.stop()
-    print(load_line())
+    print(describe_load())
 
 
 if __name__ == "__main__":
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -1,9 +1,10 @@
-"""State, messages and processor time of control roles at three sizes each.
+"""Measures state, messages and processor time of control roles at three sizes each.
 
-Run ``python -m benchmarks.roles``. All parts run in this process on the platform in
-memory, so that the figures hold no transport. Each cost is the median of several runs;
-the last row of each table is a worked-out slope: the increase from the smallest to the
-largest size for each unit. The baseline is the smallest size. The run is deterministic.
+Run ``python -m benchmarks.roles``. All components run in this process on an in-memory
+platform, so the results include no transport. Each time is the median of several calls.
+The last row of each table is the slope: the increase from the smallest to the largest
+size, for each unit of size. The baseline is the smallest size. The inputs are the same
+in each run.
 """
 
 import argparse
@@ -20,7 +21,7 @@
     site_configuration,
     site_view,
 )
-from benchmarks.usage import load_line
+from benchmarks.usage import describe_load
 from standins.memory_fleet import MemoryFleet, PoolShape
 from sycamorecroft.configuration.codec import decode_configuration, encode_configuration
 from sycamorecroft.configuration.fleet import (
@@ -49,16 +50,16 @@
 _WIDTH = 12
 
 
-class Row(NamedTuple):
-    """Figures at one size, in the order of the table's columns."""
+class TableRow(NamedTuple):
+    """Values at one size, in the order of the table's columns."""
 
     size: int
-    figures: tuple[float, ...]
+    values: tuple[float, ...]
 
 
-def milliseconds(action: Callable[[], object]) -> float:
+def median_processor_ms(action: Callable[[], object]) -> float:
     """
-    :returns: median processor time of a call.
+    :returns: median processor time of a call, in milliseconds.
     """
     times_ms = []
     for _ in range(RUNS_COUNT):
@@ -68,9 +69,9 @@
     return statistics.median(times_ms)
 
 
-def kibibytes(build: Callable[[], object]) -> float:
+def allocated_kib(build: Callable[[], object]) -> float:
     """
-    :returns: memory that stays allocated for the result of a call.
+    :returns: memory that stays allocated for the result of a call, in KiB.
     """
     tracemalloc.start()
     try:
@@ -82,8 +83,11 @@
     return allocated_bytes / 1024
 
 
-class _Members:
-    """One daemon's membership, and messages of a peer with risen counters."""
+class _GossipExchange:
+    """Membership of one daemon that exchanges gossip with one peer.
+
+    Before each exchange the peer's digests of all members have higher counters.
+    """
 
     def __init__(self, count: int) -> None:
         names = [f"entry-{number}" for number in range(count)]
@@ -99,13 +103,13 @@
         self._peer, self._own = names[1], names[0]
         self._counter = 1
         self.exchange()
-        whole = self._codec.encode("unknown", self.state.digests())
-        self.whole_bytes = len(whole.SerializeToString())
-        self.later_bytes = self.exchange()
+        full = self._codec.encode("unknown", self.state.digests())
+        self.full_bytes = len(full.SerializeToString())
+        self.incremental_bytes = self.exchange()
 
     def exchange(self) -> int:
         """
-        :returns: size of the answer to a peer's message.
+        :returns: size in bytes of the reply to a peer's message.
         """
         self._counter += 1
         digests = [d._replace(counter=self._counter) for d in self._peer_digests]
@@ -113,15 +117,15 @@
         self.state.merge(self._codec.decode(self._peer, message), self._counter)
         self.state.advance(self.state.own)
         self.state.view(self._counter)
-        answer = self._codec.encode(self._peer, self.state.digests())
-        self._peer_codec.decode(self._own, answer)
-        return len(answer.SerializeToString())
+        reply = self._codec.encode(self._peer, self.state.digests())
+        self._peer_codec.decode(self._own, reply)
+        return len(reply.SerializeToString())
 
 
-def membership_row(count: int) -> Row:
-    members = _Members(count)
-    cost_ms = milliseconds(members.exchange)
-    return Row(count, (cost_ms, members.whole_bytes, members.later_bytes))
+def membership_row(count: int) -> TableRow:
+    gossip = _GossipExchange(count)
+    exchange_ms = median_processor_ms(gossip.exchange)
+    return TableRow(count, (exchange_ms, gossip.full_bytes, gossip.incremental_bytes))
 
 
 def _fleet(workers_count: int) -> MemoryFleet:
@@ -134,49 +138,53 @@
     return MemoryFleet(pools, entries_count=9, host_list_lag_s=10.0, reboot_s=60.0)
 
 
-def view_row(workers_count: int) -> Row:
-    world = _fleet(workers_count)
-    reader = PoolViewReader(world.tables)
+def view_row(workers_count: int) -> TableRow:
+    memory_fleet = _fleet(workers_count)
+    reader = PoolViewReader(memory_fleet.tables)
     reader.refresh()
-    row = world.tables.scan(HOSTS_TABLE, purpose=StorePurpose.VIEW).rows[0]
+    row = memory_fleet.tables.scan(HOSTS_TABLE, purpose=StorePurpose.VIEW).rows[0]
 
     def refresh() -> None:
         put = Put(HOSTS_TABLE, row.key, row.value)
-        world.tables.transact([], [put], purpose=StorePurpose.POOLS)
+        memory_fleet.tables.transact([], [put], purpose=StorePurpose.POOLS)
         reader.refresh()
 
-    return Row(
+    return TableRow(
         workers_count,
         (
-            milliseconds(reader.refresh),
-            milliseconds(refresh),
+            median_processor_ms(reader.refresh),
+            median_processor_ms(refresh),
             len(encode_view(reader.view)),
-            kibibytes(lambda: PoolViewReader(world.tables).refresh()),
+            allocated_kib(lambda: PoolViewReader(memory_fleet.tables).refresh()),
         ),
     )
 
 
-def controllers_row(workers_count: int) -> Row:
-    world = _fleet(workers_count)
-    pools, maintenance = world.pool_controller("daemon"), world.maintenance("daemon")
+def controllers_row(workers_count: int) -> TableRow:
+    memory_fleet = _fleet(workers_count)
+    pools, maintenance = (
+        memory_fleet.pool_controller("daemon"),
+        memory_fleet.maintenance("daemon"),
+    )
 
     def step_pools() -> None:
-        world.clock.advance(1.0)
+        memory_fleet.clock.advance(1.0)
         pools.step()
 
     def step_maintenance() -> None:
-        world.clock.advance(1.0)
-        maintenance.step(world.clock.now())
+        memory_fleet.clock.advance(1.0)
+        maintenance.step(memory_fleet.clock.now())
 
     step_pools()
     step_maintenance()
-    return Row(
-        workers_count, (milliseconds(step_pools), milliseconds(step_maintenance))
+    return TableRow(
+        workers_count,
+        (median_processor_ms(step_pools), median_processor_ms(step_maintenance)),
     )
 
 
 def _configuration(teams_count: int) -> FleetConfiguration:
-    """Makes a configuration whose pools grow with its teams, 22 with 290."""
+    """Returns a configuration whose pools grow with its teams, 22 at 290 teams."""
     pools_count = max(1, POOLS_COUNT * teams_count // TEAMS_COUNTS[-1])
     names = [f"service-{number}" for number in range(pools_count)]
     teams = {
@@ -196,21 +204,21 @@
     )
 
 
-def configuration_row(teams_count: int) -> Row:
+def configuration_row(teams_count: int) -> TableRow:
     configuration = _configuration(teams_count)
     text = encode_configuration(configuration)
-    return Row(
+    return TableRow(
         teams_count,
         (
-            milliseconds(lambda: encode_configuration(configuration)),
-            milliseconds(lambda: decode_configuration(text)),
+            median_processor_ms(lambda: encode_configuration(configuration)),
+            median_processor_ms(lambda: decode_configuration(text)),
             len(text),
-            kibibytes(lambda: decode_configuration(text)),
+            allocated_kib(lambda: decode_configuration(text)),
         ),
     )
 
 
-def owner_row(workers_count: int) -> Row:
+def owner_row(workers_count: int) -> TableRow:
     configuration, view = site_configuration(), site_view(workers_count)
     members = QueueMembership(frozenset({"e0"}), 1)
 
@@ -218,26 +226,26 @@
         return QueueOwner(SERVICES[0], configuration, view, members, 0.0)
 
     owner = build()
-    return Row(
+    return TableRow(
         workers_count,
         (
-            milliseconds(build),
-            milliseconds(lambda: owner.tick(MEAN_SERVICE_TIME_S)),
-            milliseconds(lambda: owner.view_changed(view, MEAN_SERVICE_TIME_S)),
-            kibibytes(build),
+            median_processor_ms(build),
+            median_processor_ms(lambda: owner.tick(MEAN_SERVICE_TIME_S)),
+            median_processor_ms(lambda: owner.view_changed(view, MEAN_SERVICE_TIME_S)),
+            allocated_kib(build),
         ),
     )
 
 
-def _print_table(name: str, columns: tuple[str, ...], rows: list[Row]) -> None:
+def _print_table(name: str, columns: tuple[str, ...], rows: list[TableRow]) -> None:
     print(f"{name}: {', '.join(columns)}")
     for row in rows:
-        figures = "".join(f"{figure:{_WIDTH}.3f}" for figure in row.figures)
-        print(f"  {row.size:6}{figures}")
+        cells = "".join(f"{value:{_WIDTH}.3f}" for value in row.values)
+        print(f"  {row.size:6}{cells}")
     first, last = rows[0], rows[-1]
     slopes = "".join(
         f"{(b - a) / (last.size - first.size):{_WIDTH}.4f}"
-        for a, b in zip(first.figures, last.figures, strict=True)
+        for a, b in zip(first.values, last.values, strict=True)
     )
     print(f"  slope {slopes}")
 
@@ -245,10 +253,10 @@
 def main() -> None:
     """Prints one table for each role."""
     argparse.ArgumentParser(description=__doc__).parse_args()
-    print(f"{datetime.now():%Y-%m-%d %H:%M}, {load_line()}")
+    print(f"{datetime.now():%Y-%m-%d %H:%M}, {describe_load()}")
     _print_table(
         "membership by members",
-        ("exchange ms (both ends)", "whole digests bytes", "later answer bytes"),
+        ("exchange ms (both ends)", "full digests bytes", "incremental reply bytes"),
         [membership_row(count) for count in MEMBERS_COUNTS],
     )
     _print_table(
@@ -271,7 +279,7 @@
         ("build ms", "tick ms", "view change ms", "memory KiB"),
         [owner_row(count) for count in WORKERS_COUNTS],
     )
-    print(load_line())
+    print(describe_load())
 
 
 if __name__ == "__main__":
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,14 +1,14 @@
-"""Maintenance of each host once: ``python -m benchmarks.rollout``.
+"""Measures the maintenance of each host once: ``python -m benchmarks.rollout``.
 
 Model: the sites of section 1.2 of docs/design.md (5 pools of 8 hosts) and a larger
-fleet (10 pools of 40 hosts) on the platform in memory, 9 entry hosts that acknowledge
-every 2 s, steps of 1 s on a manual clock, reboots of 60 s, a host list that lags by 10
-s. The run is deterministic.
-
-The bound takes for each pool the largest batches that its budget, its racks and the
-reserve for one rack failure allow (the budget alone, where it is smaller than a rack),
-and the shortest time for a host: the wait after the drain and the reboot. The baseline
-takes one host of the fleet at a time, each in the shortest time.
+fleet (10 pools of 40 hosts) on an in-memory platform; 9 entry hosts that acknowledge
+every 2 s, steps of 1 s on a manual clock, reboots of 60 s, and a host list that lags by
+10 s. The run is deterministic.
+
+The lower bound assumes, for each pool, the largest batches that its budget, its racks
+and the reserve for one rack failure allow (the budget alone where it is smaller than a
+rack), and for each host the shortest time: the wait after the drain, then the reboot.
+The baseline maintains one host of the fleet at a time, each in the shortest time.
 """
 
 import math
@@ -26,11 +26,11 @@
 from sycamorecroft.pools.clearance import HELD_GRANTS_WAIT_S
 from sycamorecroft.store.interfaces import StorePurpose
 
-ENTRIES_COUNT = 9
-ACKNOWLEDGE_S = 2
+ENTRY_HOSTS_COUNT = 9
+ACKNOWLEDGE_INTERVAL_S = 2
 REBOOT_S = 60.0
 HOST_LIST_LAG_S = 10.0
-LIMIT_S = 20_000
+MAX_DURATION_S = 20_000
 TARGET_RATIO = 1.2
 
 
@@ -53,65 +53,68 @@
 )
 
 
-class Rollout(NamedTuple):
-    """Result of one wave over all hosts."""
+class RolloutResult(NamedTuple):
+    """Duration of a wave over all hosts, and store calls in its busiest second."""
 
     duration_s: int
     peak_writes_count: int
     peak_reads_count: int
 
 
-def bound_s(fleet: Fleet) -> float:
+def lower_bound_s(fleet: Fleet) -> float:
     """
-    :returns: seconds that no schedule within budgets and racks can fall below.
+    :returns: seconds that every schedule within budgets and racks takes at least.
     """
     host_s = HELD_GRANTS_WAIT_S + REBOOT_S
-    return host_s * max(_rounds_count(pool) for pool in fleet.pools)
+    return host_s * max(_batches_count(pool) for pool in fleet.pools)
 
 
-def _rounds_count(pool: PoolShape) -> int:
+def _batches_count(pool: PoolShape) -> int:
     allowed_count = int(pool.hosts_count * pool.max_unavailable_ratio + 1e-9)
-    beside_reserve_count = allowed_count - pool.rack_size
-    free_count = allowed_count if beside_reserve_count < 0 else beside_reserve_count
-    batch_count = max(1, min(pool.rack_size, free_count))
+    outside_reserve_count = allowed_count - pool.rack_size
+    available_count = (
+        allowed_count if outside_reserve_count < 0 else outside_reserve_count
+    )
+    batch_count = max(1, min(pool.rack_size, available_count))
     racks = Counter(number // pool.rack_size for number in range(pool.hosts_count))
     return sum(math.ceil(size / batch_count) for size in racks.values())
 
 
-def run(fleet: Fleet) -> Rollout:
+def run_wave(fleet: Fleet) -> RolloutResult:
     """
-    :returns: duration and the busiest second of store use by the controller.
+    :returns: duration and peak store use by the maintenance controller.
+    :raises AssertionError: if the wave doesn't finish within ``MAX_DURATION_S``.
     """
-    world = MemoryFleet(
+    memory_fleet = MemoryFleet(
         fleet.pools,
-        entries_count=ENTRIES_COUNT,
+        entries_count=ENTRY_HOSTS_COUNT,
         host_list_lag_s=HOST_LIST_LAG_S,
         reboot_s=REBOOT_S,
     )
-    waves = WaveStore(world.tables, world.clock)
+    waves = WaveStore(memory_fleet.tables, memory_fleet.clock)
     names = tuple(pool.name for pool in fleet.pools)
-    deadline = world.clock.now() + timedelta(days=1)
+    deadline = memory_fleet.clock.now() + timedelta(days=1)
     selection = Selection(SelectionKind.POOL, names)
     wave_id = waves.declare("all", selection, deadline).record["id"]
-    controller = world.maintenance("daemon")
+    controller = memory_fleet.maintenance("daemon")
     peaks: Counter[Operation] = Counter()
-    for elapsed_s in range(LIMIT_S):
-        before = world.tables.call_counts()
-        controller.step(world.clock.now())
-        peaks |= Counter(_calls(world.tables.call_counts(), before))
+    for elapsed_s in range(MAX_DURATION_S):
+        before = memory_fleet.tables.call_counts()
+        controller.step(memory_fleet.clock.now())
+        peaks |= Counter(_call_increases(memory_fleet.tables.call_counts(), before))
         if elapsed_s % 10 == 0:
-            world.check()
+            memory_fleet.check()
         if waves.read(wave_id).record["state"] == WaveState.FINISHED:
             writes_count, reads_count = peaks[Operation.WRITE], peaks[Operation.READ]
-            return Rollout(elapsed_s, writes_count, reads_count)
-        world.clock.advance(1.0)
-        if elapsed_s % ACKNOWLEDGE_S == 0:
-            for entry in world.entries.values():
-                entry.step()
-    raise AssertionError(f"the wave did not finish in {LIMIT_S} s")
+            return RolloutResult(elapsed_s, writes_count, reads_count)
+        memory_fleet.clock.advance(1.0)
+        if elapsed_s % ACKNOWLEDGE_INTERVAL_S == 0:
+            for entry_host in memory_fleet.entries.values():
+                entry_host.step()
+    raise AssertionError(f"the wave did not finish in {MAX_DURATION_S} s")
 
 
-def _calls(
+def _call_increases(
     after: Mapping[CallKey, int], before: Mapping[CallKey, int]
 ) -> dict[Operation, int]:
     return {
@@ -124,19 +127,19 @@
 def main() -> None:
     for fleet in FLEETS:
         start_s = time.perf_counter()
-        rollout = run(fleet)
-        bound = bound_s(fleet)
+        result = run_wave(fleet)
+        shortest_s = lower_bound_s(fleet)
         hosts_count = sum(pool.hosts_count for pool in fleet.pools)
         one_by_one_s = hosts_count * (HELD_GRANTS_WAIT_S + REBOOT_S)
-        ratio = rollout.duration_s / bound
+        ratio = result.duration_s / shortest_s
         print(
-            f"{fleet.name}: {rollout.duration_s} s, bound {bound:.0f} s, one host at "
-            f"a time {one_by_one_s:.0f} s; {ratio:.2f} times the bound, target "
+            f"{fleet.name}: {result.duration_s} s, bound {shortest_s:.0f} s, one host "
+            f"at a time {one_by_one_s:.0f} s; {ratio:.2f} times the bound, target "
             f"{TARGET_RATIO}: {'met' if ratio <= TARGET_RATIO else 'missed'}"
         )
         print(
-            f"busiest step: {rollout.peak_writes_count} writes, "
-            f"{rollout.peak_reads_count} reads; "
+            f"busiest step: {result.peak_writes_count} writes, "
+            f"{result.peak_reads_count} reads; "
             f"run took {time.perf_counter() - start_s:.1f} s"
         )
 
--- a/benchmarks/site_flood.py
+++ b/benchmarks/site_flood.py
@@ -1,10 +1,11 @@
-"""Overload of one queue on a whole site: what other queues keep.
-
-Run ``python -m benchmarks.site_flood --seed 1 [--killed-hosts 2]``. Nine daemons, 40
-backend servers with slots of 0.5 s, two load processes: background work on all queues
-at a third of their pools, and 5 times that on one queue in the second phase, first of
-bulk work on backoffice, then of urgent work on rating. The baseline is the background
-work of the first phase, without overload, in the same run. ``benchmarks/flood.py``
+"""Measures how far a flood of one queue affects the others on a whole site.
+
+Run ``python -m benchmarks.site_flood --seed 1 [--killed-hosts 2]``. Nine daemons and 40
+backend servers with a service time of 0.5 s get load from two processes: background
+requests to several queues at a third of the capacity of their pools, and in the second
+phase a flood of 5 times that rate on one queue. The first run floods backoffice with
+bulk requests, the second one rating with urgent ones. The baseline is the background
+load of the first phase of the same run, without a flood. ``benchmarks/flood.py``
 compares the same case with one FIFO, in virtual time.
 """
 
@@ -29,7 +30,7 @@
 LATENCY_TARGET_RATIO = 1.5
 PORT_SHIFT = 10_500
 
-_BACKGROUND = (
+_BACKGROUND_FLOWS = (
     ("rating", "inspectors", "urgent"),
     ("assessment", "council-clerks", "normal"),
     ("hotline", "public-hotline", "normal"),
@@ -78,60 +79,77 @@
 
 
 def _start_load(folder: Path, name: str, plan: dict[str, Any]) -> subprocess.Popen:
-    path = folder / f"{name}.json"
-    path.write_text(json.dumps(plan), encoding="utf-8")
-    command = [sys.executable, "-m", "standins.load", str(path)]
+    plan_path = folder / f"{name}.json"
+    plan_path.write_text(json.dumps(plan), encoding="utf-8")
+    command = [sys.executable, "-m", "standins.load", str(plan_path)]
     return subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE)
 
 
 def _run_flood(
-    site: Site, folder: Path, flood: Flood, seed: int, killed: tuple[str, ...]
+    site: Site,
+    folder: Path,
+    flood: Flood,
+    seed: int,
+    killed_entry_hosts: tuple[str, ...],
 ) -> dict[str, Any]:
     """
-    :returns: summary of the background work.
+    :returns: summary of the background load, by phase and service.
     """
-    # Callers of a killed entry host are the balancer's matter.
-    entries = [entry for entry in site.entries if entry not in killed]
-    addresses = [site.http_address(entry) for entry in entries]
-    flows = [_flow(*item, MEAN_RATE_PER_S) for item in _BACKGROUND]
+    # In production a load balancer diverts callers from a failed entry host, so no load
+    # is sent to killed ones.
+    live_entry_hosts = [
+        entry_host
+        for entry_host in site.entries
+        if entry_host not in killed_entry_hosts
+    ]
+    addresses = [site.http_address(entry_host) for entry_host in live_entry_hosts]
+    flows = [
+        _flow(*background_flow, MEAN_RATE_PER_S)
+        for background_flow in _BACKGROUND_FLOWS
+    ]
     phases = [
         {"name": name, "duration_s": PHASE_S, "flows": flows}
         for name in ("calm", "flood")
     ]
-    background = _start_load(folder, "background", _plan(addresses, seed, phases))
+    background_load = _start_load(folder, "background", _plan(addresses, seed, phases))
     time.sleep(PHASE_S)
     flow = _flow(*flood, MEAN_RATE_PER_S * FLOOD_FACTOR)
-    overload = [{"name": "flood", "duration_s": PHASE_S, "flows": [flow]}]
-    flooding = _start_load(folder, "flood", _plan(addresses, seed + 1, overload))
-    for entry in killed:
-        site.kill(entry)
-    output, _ = background.communicate(timeout=LOAD_TIMEOUT_S)
-    flooding.communicate(timeout=LOAD_TIMEOUT_S)
+    flood_phases = [{"name": "flood", "duration_s": PHASE_S, "flows": [flow]}]
+    flood_load = _start_load(folder, "flood", _plan(addresses, seed + 1, flood_phases))
+    for entry_host in killed_entry_hosts:
+        site.kill(entry_host)
+    output, _ = background_load.communicate(timeout=LOAD_TIMEOUT_S)
+    flood_load.communicate(timeout=LOAD_TIMEOUT_S)
     return json.loads(output)
 
 
-def _report(flood: Flood, summary: dict[str, Any]) -> int:
+def _print_result(flood: Flood, summary: dict[str, Any]) -> int:
     """
     :returns: number of missed targets.
     """
     missed_count = 0
     print(f"overload of {flood.service} with {flood.urgency} work of {flood.team}")
-    for service, _, _ in _BACKGROUND:
-        calm = summary["by_service"][f"calm/{service}"]
-        flooded = summary["by_service"][f"flood/{service}"]
-        sent_ratio = flooded["sent_count"] / calm["sent_count"]
-        goodput = flooded["goodput_per_s"] / calm["goodput_per_s"] / sent_ratio
-        latency = flooded["latencies"]["p99_ms"] / calm["latencies"]["p99_ms"]
+    for service, _, _ in _BACKGROUND_FLOWS:
+        baseline = summary["by_service"][f"calm/{service}"]
+        with_flood = summary["by_service"][f"flood/{service}"]
+        sent_ratio = with_flood["sent_count"] / baseline["sent_count"]
+        goodput_ratio = (
+            with_flood["goodput_per_s"] / baseline["goodput_per_s"] / sent_ratio
+        )
+        p99_ratio = with_flood["latencies"]["p99_ms"] / baseline["latencies"]["p99_ms"]
         is_other = service != flood.service
-        is_met = goodput >= GOODPUT_TARGET_RATIO and latency <= LATENCY_TARGET_RATIO
+        is_met = (
+            goodput_ratio >= GOODPUT_TARGET_RATIO and p99_ratio <= LATENCY_TARGET_RATIO
+        )
         verdict = ("met" if is_met else "MISSED") if is_other else "same queue"
         missed_count += is_other and not is_met
         print(
-            f"  {service}: goodput ratio {goodput:.3f} (target {GOODPUT_TARGET_RATIO}),"
-            f" p99 {calm['latencies']['p99_ms']:.0f} -> "
-            f"{flooded['latencies']['p99_ms']:.0f} ms, ratio {latency:.2f} (target "
-            f"{LATENCY_TARGET_RATIO}): {verdict}; {flooded['verdicts']} "
-            f"{flooded['reasons'] or ''}"
+            f"  {service}: goodput ratio {goodput_ratio:.3f} "
+            f"(target {GOODPUT_TARGET_RATIO}), "
+            f"p99 {baseline['latencies']['p99_ms']:.0f} -> "
+            f"{with_flood['latencies']['p99_ms']:.0f} ms, ratio {p99_ratio:.2f} "
+            f"(target {LATENCY_TARGET_RATIO}): {verdict}; {with_flood['verdicts']} "
+            f"{with_flood['reasons'] or ''}"
         )
     return missed_count
 
@@ -153,13 +171,15 @@
                 port_shift=PORT_SHIFT,
                 service_time_ms=SERVICE_TIME_MS,
             )
-            killed = site.entries[: options.killed_hosts]
+            killed_entry_hosts = site.entries[: options.killed_hosts]
             try:
                 site.start()
-                summary = _run_flood(site, Path(folder), flood, options.seed, killed)
+                summary = _run_flood(
+                    site, Path(folder), flood, options.seed, killed_entry_hosts
+                )
             finally:
                 site.stop()
-        missed_count += _report(flood, summary)
+        missed_count += _print_result(flood, summary)
     return 1 if missed_count else 0
 
 
--- a/benchmarks/site_sizes.py
+++ b/benchmarks/site_sizes.py
@@ -1,4 +1,4 @@
-"""Sites of chosen size, made from the Ondangwa deployment."""
+"""Builds sites of a given size from the Ondangwa deployment."""
 
 import json
 import shutil
@@ -26,33 +26,35 @@
 _FIRST_GRPC_PORT = 21101
 
 
-def write_deployment(folder: Path, entries_count: int, workers_count: int) -> Path:
+def write_deployment(folder: Path, entry_hosts_count: int, workers_count: int) -> Path:
     """Writes a deployment with five pools of equal size.
 
     :param workers_count: a multiple of the number of services.
     :returns: folder of the deployment.
     """
-    target = folder / "deployment"
-    target.mkdir()
-    shutil.copy(_DEPLOYMENT / "template.jsonc", target)
-    per_service_count = workers_count // SERVICES_COUNT
-    _write(target / "daemon.jsonc", _daemon(entries_count))
-    _write(target / "hosts.json", _hosts(per_service_count))
+    deployment = folder / "deployment"
+    deployment.mkdir()
+    shutil.copy(_DEPLOYMENT / "template.jsonc", deployment)
+    workers_per_service_count = workers_count // SERVICES_COUNT
+    _write_json(deployment / "daemon.jsonc", _daemon_settings(entry_hosts_count))
+    _write_json(
+        deployment / "hosts.json", _inventory_document(workers_per_service_count)
+    )
     text = (_DEPLOYMENT / _PARAMETERS).read_text(encoding="utf-8")
     for key in ("hosts_per_service", "spare_hosts"):
-        text = text.replace(f'"{key}": 8', f'"{key}": {per_service_count}')
-    (target / _PARAMETERS).write_text(text, encoding="utf-8")
-    return target
+        text = text.replace(f'"{key}": 8', f'"{key}": {workers_per_service_count}')
+    (deployment / _PARAMETERS).write_text(text, encoding="utf-8")
+    return deployment
 
 
-def _write(path: Path, document: object) -> None:
+def _write_json(path: Path, document: object) -> None:
     path.write_text(json.dumps(document), encoding="utf-8")
 
 
-def _daemon(entries_count: int) -> dict[str, Any]:
+def _daemon_settings(entry_hosts_count: int) -> dict[str, Any]:
     entries = [
         {"name": f"entry-{n + 1}", "grpc_address": f"127.0.0.1:{_FIRST_GRPC_PORT + n}"}
-        for n in range(entries_count)
+        for n in range(entry_hosts_count)
     ]
     return {
         "entry": "entry-1",
@@ -64,7 +66,7 @@
     }
 
 
-def _hosts(per_service_count: int) -> dict[str, Any]:
+def _inventory_document(workers_per_service_count: int) -> dict[str, Any]:
     document = json.loads((_DEPLOYMENT / "hosts.json").read_text(encoding="utf-8"))
     pools = list(dict.fromkeys(worker["pool"] for worker in document["workers"]))
     document["workers"] = [
@@ -72,19 +74,20 @@
             "name": f"{pool}-{number + 1}",
             "data_centre": "ondangwa",
             "rack": f"{pool}-rack-{number // RACK_SIZE}",
-            "port_offset": index * per_service_count + number,
+            "port_offset": index * workers_per_service_count + number,
             "pool": pool,
         }
         for index, pool in enumerate(pools)
-        for number in range(per_service_count)
+        for number in range(workers_per_service_count)
     ]
     return document
 
 
 def write_host_rows(site: Site) -> None:
-    """Writes the rows of all workers, as if they had been registered before.
+    """Writes the host rows of all workers directly to the store.
 
-    The pool controller registers about 10 hosts a second.
+    Registration by the pool controller, at about 10 hosts a second, would take too long
+    on large sites.
     """
     connection = PlatformConnection(site.platform_address)
     tables = HttpTableService(connection)
@@ -114,13 +117,16 @@
     """
     :returns: ports on which the daemons listen for their peers.
     """
-    first = _FIRST_GRPC_PORT + PORT_SHIFT
-    return tuple(range(first, first + len(site.entries)))
+    first_port = _FIRST_GRPC_PORT + PORT_SHIFT
+    return tuple(range(first_port, first_port + len(site.entries)))
 
 
-def changed(configuration: FleetConfiguration, number: int) -> FleetConfiguration:
+def with_changed_weight(
+    configuration: FleetConfiguration, number: int
+) -> FleetConfiguration:
     """
-    :returns: the configuration with a team's weight that differs for each number.
+    :returns: the configuration with one team's weight changed; each number gives a
+        different weight.
     """
     account = configuration.accounts[ACCOUNT]
     team = account.teams[TEAM]._replace(weight=4.0 + number / 1000)
@@ -129,7 +135,10 @@
 
 
 def publish(site: Site, configuration: FleetConfiguration, base_version: int) -> None:
-    """Publishes a configuration through the first entry host."""
+    """Publishes a configuration through the first entry host.
+
+    :raises RuntimeError: if the entry host refuses it.
+    """
     body = {
         "base_version": base_version,
         "author": "benchmark",
@@ -137,5 +146,7 @@
     }
     response = site.operate(site.entries[0], "PUT", "configuration", body)
     if response.status != 200:
-        message = f"publishing failed with status {response.status}: {response.body!r}"
+        message = (
+            f"configuration not published: status {response.status}, {response.body!r}"
+        )
         raise RuntimeError(message)
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,9 +1,9 @@
-"""Store calls a second of a whole site, by purpose, under load that needs claims.
+"""Measures a site's store calls per second, by purpose, under load that needs claims.
 
 Run ``python -m benchmarks.store --seed 1``. A site of 9 daemons gets non-idempotent
-requests of one service at several rates; the platform stand-in counts the calls. Each
-row is compared with the budget of section 5.5, and the claims with the baseline of one
-write a request.
+requests of one service at several rates, and the platform stand-in counts the store
+calls. Each purpose is compared with its budget (section 5.5 of docs/design.md), and the
+claims with the baseline of one write for each request.
 """
 
 import argparse
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from benchmarks.site_sizes import ACCOUNT, PORT_SHIFT, TEAM
-from benchmarks.usage import load_line
+from benchmarks.usage import describe_load
 from standins.load import LoadRun
 from standins.load_plan import FlowBody, PhaseBody, PlanBody
 from standins.load_summary import Verdict
@@ -33,8 +33,8 @@
 Calls = Counter[tuple[str, str]]
 
 
-class Step(NamedTuple):
-    """Calls per second at one rate of requests."""
+class RateResult(NamedTuple):
+    """Answered requests and store calls per second at one request rate."""
 
     rate_per_s: float
     sent_count: int
@@ -47,7 +47,7 @@
         return sum(rate for (_, kind), rate in rates if kind == operation)
 
 
-def _calls(site: Site) -> Calls:
+def _read_call_counts(site: Site) -> Calls:
     counts = site.call(site.platform_address, "GET", "/counts").json()["calls"]
     return Counter({(c["purpose"], c["operation"]): c["count"] for c in counts})
 
@@ -63,7 +63,7 @@
         is_repeatable=False,
     )
     return PlanBody(
-        addresses=[site.http_address(entry) for entry in site.entries],
+        addresses=[site.http_address(entry_host) for entry_host in site.entries],
         path="/v1/services/{service}/requests",
         account=ACCOUNT,
         seed=seed,
@@ -73,15 +73,17 @@
     )
 
 
-def run_step(site: Site, seed: int, rate_per_s: float, window_s: float) -> Step:
+def measure_rate(
+    site: Site, seed: int, rate_per_s: float, window_s: float
+) -> RateResult:
     """
-    :returns: calls of the site while requests arrive at the rate.
+    :returns: store calls of the site while requests arrive at ``rate_per_s``.
     """
-    before, started_s = _calls(site), time.monotonic()
+    before, started_s = _read_call_counts(site), time.monotonic()
     samples = LoadRun(_plan(site, seed, rate_per_s, window_s)).run()
     time.sleep(max(0.0, started_s + window_s - time.monotonic()))
-    after, elapsed_s = _calls(site), time.monotonic() - started_s
-    return Step(
+    after, elapsed_s = _read_call_counts(site), time.monotonic() - started_s
+    return RateResult(
         rate_per_s,
         len(samples),
         sum(sample.verdict is Verdict.GOOD for sample in samples),
@@ -90,40 +92,40 @@
     )
 
 
-def _print_step(step: Step) -> None:
-    reasons = f", refused {step.reasons}" if step.reasons else ""
+def _print_result(result: RateResult) -> None:
+    reasons = f", refused {result.reasons}" if result.reasons else ""
     print(
-        f"{step.rate_per_s:.0f} requests/s: {step.good_count} of {step.sent_count} "
-        f"answered in time{reasons}"
+        f"{result.rate_per_s:.0f} requests/s: {result.good_count} of "
+        f"{result.sent_count} answered before their deadline{reasons}"
     )
     for purpose in StorePurpose:
-        writes = step.calls_per_s.get((purpose, StoreOperation.WRITE), 0.0)
-        reads = step.calls_per_s.get((purpose, StoreOperation.READ), 0.0)
+        writes = result.calls_per_s.get((purpose, StoreOperation.WRITE), 0.0)
+        reads = result.calls_per_s.get((purpose, StoreOperation.READ), 0.0)
         budget = SYSTEM_RATES[purpose]
-        is_within = writes <= budget.writes_per_s and reads <= budget.reads_per_s
+        is_within_budget = writes <= budget.writes_per_s and reads <= budget.reads_per_s
         print(
             f"  {purpose:14} {writes:6.1f} writes/s of {budget.writes_per_s:4.0f}, "
             f"{reads:6.1f} reads/s of {budget.reads_per_s:4.0f}"
-            f"{'' if is_within else '  over budget'}"
+            f"{'' if is_within_budget else '  over budget'}"
         )
-    writes = step.total_per_s(StoreOperation.WRITE)
-    reads = step.total_per_s(StoreOperation.READ)
+    writes = result.total_per_s(StoreOperation.WRITE)
+    reads = result.total_per_s(StoreOperation.READ)
     is_met = writes < TARGET_WRITES_PER_S and reads < TARGET_READS_PER_S
     print(
         f"  sum            {writes:6.1f} writes/s, {reads:6.1f} reads/s; target under "
         f"{TARGET_WRITES_PER_S} and {TARGET_READS_PER_S}: "
         f"{'met' if is_met else 'missed'}; baseline of one write a request "
-        f"{step.rate_per_s:.0f} writes/s for claims"
+        f"{result.rate_per_s:.0f} writes/s for claims"
     )
 
 
 def main() -> None:
-    """Prints the calls at each rate."""
+    """Prints the store calls at each request rate."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--window-s", type=float, default=8.0)
     options = parser.parse_args()
-    print(f"{datetime.now():%Y-%m-%d %H:%M}, {load_line()}")
+    print(f"{datetime.now():%Y-%m-%d %H:%M}, {describe_load()}")
     with tempfile.TemporaryDirectory() as name:
         deployment = ROOT / "deployments" / "ondangwa"
         site = Site(deployment, Path(name), port_shift=PORT_SHIFT)
@@ -131,10 +133,10 @@
             site.start()
             for number, rate_per_s in enumerate(RATES_PER_S):
                 seed = options.seed + number
-                _print_step(run_step(site, seed, rate_per_s, options.window_s))
+                _print_result(measure_rate(site, seed, rate_per_s, options.window_s))
         finally:
             site.stop()
-    print(load_line())
+    print(describe_load())
 
 
 if __name__ == "__main__":
--- a/benchmarks/usage.py
+++ b/benchmarks/usage.py
@@ -1,4 +1,4 @@
-"""Processor time, memory and bytes of processes, read from ``/proc`` and ``ss``."""
+"""Reads processor time, memory and sent bytes from ``/proc`` and ``ss``."""
 
 import os
 import re
@@ -13,7 +13,7 @@
 
 
 class ProcessUsage(NamedTuple):
-    """Use of a process since its start, and its memory at present."""
+    """Processor time of a process since its start, and its current resident memory."""
 
     processor_s: float
     resident_bytes: int
@@ -21,37 +21,38 @@
 
 def read_usage(process_id: int) -> ProcessUsage:
     """
-    :returns: use of all threads of a process that run now.
+    :returns: usage of a process. The processor time of threads that have ended is not
+        included.
     """
     folder = Path(f"/proc/{process_id}")
     total_ns = 0
     for task in (folder / "task").iterdir():
         total_ns += int((task / "schedstat").read_text().split()[0])
-    resident_count = int((folder / "statm").read_text().split()[1])
+    resident_pages_count = int((folder / "statm").read_text().split()[1])
     page_bytes = os.sysconf("SC_PAGE_SIZE")
-    return ProcessUsage(total_ns / _NS_PER_S, resident_count * page_bytes)
+    return ProcessUsage(total_ns / _NS_PER_S, resident_pages_count * page_bytes)
 
 
 def sent_bytes(ports: Iterable[int]) -> int | None:
-    """Sums what TCP connections to or from listening ports have sent so far.
+    """Sums the bytes sent so far on open TCP connections to or from the given ports.
 
-    Both ends of a loopback connection are listed, so the sum counts each byte once, as
-    sent. It includes the framing of HTTP/2, but no TCP or IP headers.
+    ``ss`` lists both ends of a loopback connection, and only sent bytes are summed, so
+    each byte counts once. The sum includes HTTP/2 framing, but no TCP or IP headers.
 
-    :returns: ``None`` where ``ss`` isn't there.
+    :returns: ``None`` if ``ss`` is not installed.
     """
-    program = shutil.which("ss")
-    if program is None:
+    ss_path = shutil.which("ss")
+    if ss_path is None:
         return None
     filters = " or ".join(f"sport = :{port} or dport = :{port}" for port in ports)
-    command = [program, "-tinH", f"( {filters} )"]
+    command = [ss_path, "-tinH", f"( {filters} )"]
     listing = subprocess.run(command, capture_output=True, text=True, check=True)
-    return sum(int(match) for match in _SENT.findall(listing.stdout))
+    return sum(int(count) for count in _SENT.findall(listing.stdout))
 
 
-def load_line() -> str:
+def describe_load() -> str:
     """
-    :returns: load of the machine, to print with each figure.
+    :returns: load average and number of cores of this host, to print with results.
     """
     averages = " ".join(f"{load:.1f}" for load in os.getloadavg())
     return f"load average {averages} on {os.cpu_count()} cores"
--- a/properties/test_flood.py
+++ b/properties/test_flood.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from benchmarks.flood import FLOODS, figures, is_target_met, measure_runs
+from benchmarks.flood import FLOODS, compare_models, is_target_met, measure_runs
 from benchmarks.flood_load import Scenario
-from benchmarks.flood_sites import FifoSite, OwnedSite
+from benchmarks.flood_sites import FifoModel, QueueOwnerModel
 from properties.seeds import run_seed
 
 
@@ -13,8 +13,8 @@
     # Guards against head-of-line blocking by a flood. The FIFO misses targets on the
     # same arrivals, so the load is a real overload.
     scenario = Scenario(run_seed(), 2.0, 4.0, flooded, 0)
-    own = measure_runs(OwnedSite, scenario)
-    measured = list(figures(scenario, own, measure_runs(FifoSite, scenario)))
+    own = measure_runs(QueueOwnerModel, scenario)
+    measured = list(compare_models(scenario, own, measure_runs(FifoModel, scenario)))
     missed = [figure for figure in measured if not is_target_met(figure, figure.value)]
     assert missed == []
     assert not all(is_target_met(figure, figure.baseline) for figure in measured)
