--- a/scripts/generate_rpc.sh
+++ b/scripts/generate_rpc.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Regenerates src/sycamorecroft/rpc/generated from peer.proto.
-# Needs: pip install -e '.[generate]'
+# Regenerates src/sycamorecroft/rpc/generated from src/sycamorecroft/rpc/peer.proto.
+# Requires grpcio-tools: pip install -e '.[generate]'
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=src/sycamorecroft/rpc/generated
--- a/scripts/quick_start.py
+++ b/scripts/quick_start.py
@@ -1,7 +1,8 @@
-"""Quick start: a whole site on loopback, real requests, a change, maintenance.
+"""Runs the quick start: a whole site on loopback, with requests and operations.
 
-Starts stand-ins for the platform and backend servers and nine daemons, and stops all
-of them at the end. Exits with 0 if every step went as expected.
+Starts stand-ins for the platform and backend servers and nine daemons, sends requests,
+changes a configuration parameter, maintains a rack under load, and stops all processes.
+Exits with 0 if every step succeeds.
 """
 
 import argparse
@@ -25,8 +26,8 @@
 _LOAD_THREADS_COUNT = 12
 
 
-class Sample(NamedTuple):
-    """A request of the quick start."""
+class SampleRequest(NamedTuple):
+    """A request that the quick start sends."""
 
     service: str
     content_type: str
@@ -35,10 +36,10 @@
 
 
 class Scenario(NamedTuple):
-    """What the quick start does on one deployment."""
+    """Requests and operations of the quick start on one deployment."""
 
     deployment: str
-    samples: tuple[Sample, ...]
+    samples: tuple[SampleRequest, ...]
     load_service: str
     maintained_rack: str
 
@@ -57,9 +58,11 @@
     return Scenario(
         "ondangwa",
         (
-            Sample("rating", "image/jpeg", _photograph(7), {}),
-            Sample("rating", "application/json", msgspec.json.encode(reading), {}),
-            Sample(
+            SampleRequest("rating", "image/jpeg", _photograph(7), {}),
+            SampleRequest(
+                "rating", "application/json", msgspec.json.encode(reading), {}
+            ),
+            SampleRequest(
                 "dispatch",
                 "application/json",
                 msgspec.json.encode(order),
@@ -77,8 +80,10 @@
     return Scenario(
         "phalak",
         (
-            Sample("proofdesk", "application/json", msgspec.json.encode(wording), {}),
-            Sample(
+            SampleRequest(
+                "proofdesk", "application/json", msgspec.json.encode(wording), {}
+            ),
+            SampleRequest(
                 "foundry",
                 "application/json",
                 msgspec.json.encode(casting),
@@ -93,8 +98,8 @@
 SCENARIOS = {"ondangwa": _ondangwa, "phalak": _phalak}
 
 
-class _Load(threading.Thread):
-    """Sends requests one after another until told to stop, and counts outcomes."""
+class _LoadThread(threading.Thread):
+    """Sends requests sequentially until ``stopped`` is set, and counts outcomes."""
 
     def __init__(self, site: Site, service: str, index: int) -> None:
         super().__init__(daemon=True)
@@ -111,47 +116,52 @@
             self.outcomes[f"{response.status} {outcome}"] += 1
 
 
-def _say(text: str, started_s: float = time.monotonic()) -> None:
+def _print_progress(text: str, started_s: float = time.monotonic()) -> None:
     print(f"[{time.monotonic() - started_s:5.1f} s] {text}", flush=True)
 
 
-def _require(holds: bool, what: str) -> None:
-    if not holds:
-        message = f"quick start failed: {what}"
+def _check(is_met: bool, failure: str) -> None:
+    if not is_met:
+        message = f"quick start failed: {failure}"
         raise SystemExit(message)
 
 
-def _show(entry: str, sample: Sample, response: Response) -> None:
+def _print_response(entry_host: str, sample: SampleRequest, response: Response) -> None:
     outcome = response.headers.get("Sycamorecroft-Outcome")
     body = response.body.decode(errors="replace")
-    _say(f"{sample.service} through {entry}: {response.status} {outcome} {body}")
+    _print_progress(
+        f"{sample.service} through {entry_host}: {response.status} {outcome} {body}"
+    )
 
 
 def _send_samples(site: Site, scenario: Scenario) -> None:
-    for entry, sample in zip(site.entries, scenario.samples, strict=False):
+    for entry_host, sample in zip(site.entries, scenario.samples, strict=False):
         headers = {"Content-Type": sample.content_type, **sample.headers}
-        response = site.request(entry, sample.service, sample.body, headers)
-        _show(entry, sample, response)
-        _require(response.status == 200, f"{sample.service} was not served")
-    _say("the same order again through another entry host:")
-    again = site.request(site.entries[-1], sample.service, sample.body, headers)
-    _show(site.entries[-1], sample, again)
-    _require(again.body == response.body, "the order was not answered as before")
-
-
-def _show_state(site: Site) -> None:
+        response = site.request(entry_host, sample.service, sample.body, headers)
+        _print_response(entry_host, sample, response)
+        _check(
+            response.status == 200,
+            f"{sample.service} did not respond with status 200",
+        )
+    _print_progress("repeating the last request through another entry host:")
+    repeated = site.request(site.entries[-1], sample.service, sample.body, headers)
+    _print_response(site.entries[-1], sample, repeated)
+    _check(repeated.body == response.body, "the repeated request got another response")
+
+
+def _print_status(site: Site) -> None:
     status = site.status(site.entries[0])
-    _say(f"entry hosts: {', '.join(status['live_entries'])}")
+    _print_progress(f"entry hosts: {', '.join(status['live_entries'])}")
     for pool, states in status["pools"].items():
-        _say(f"pool {pool}: {states}")
+        _print_progress(f"pool {pool}: {states}")
 
 
 def _change_parameter(site: Site, scenario: Scenario) -> None:
-    """Halves the timeout of a service and waits until it is in force everywhere."""
+    """Halves the timeout of a service and waits until all entry hosts apply it."""
     configuration = site.compile()
     service = configuration.services[scenario.load_service]
-    changed = service._replace(timeout_s=service.timeout_s / 2)
-    services = {**configuration.services, service.name: changed}
+    changed_service = service._replace(timeout_s=service.timeout_s / 2)
+    services = {**configuration.services, service.name: changed_service}
     body = {
         "base_version": 1,
         "author": "quick start",
@@ -161,35 +171,43 @@
     }
     started_s = time.monotonic()
     response = site.operate(site.entries[0], "PUT", "configuration", body)
-    _require(response.status == 200, f"version 2 was refused: {response.body!r}")
-    waiting = set(site.entries)
-    while waiting:
-        _require(time.monotonic() - started_s < 10, f"not in force on {waiting}")
-        for entry in sorted(waiting):
-            if site.status(entry)["in_force_version"] >= 2:
-                waiting.discard(entry)
-                _say(f"{entry}: in force after {time.monotonic() - started_s:.2f} s")
+    _check(response.status == 200, f"version 2 was refused: {response.body!r}")
+    pending = set(site.entries)
+    while pending:
+        _check(
+            time.monotonic() - started_s < 10,
+            f"not in force after 10 s on {pending}",
+        )
+        for entry_host in sorted(pending):
+            if site.status(entry_host)["in_force_version"] >= 2:
+                pending.discard(entry_host)
+                _print_progress(
+                    f"{entry_host}: in force after {time.monotonic() - started_s:.2f} s"
+                )
         time.sleep(0.02)
 
 
 def _maintain(site: Site, scenario: Scenario) -> None:
-    """Maintains a rack under load."""
-    loads = [
-        _Load(site, scenario.load_service, index)
+    """Maintains a rack under load and checks that no request fails."""
+    threads = [
+        _LoadThread(site, scenario.load_service, index)
         for index in range(_LOAD_THREADS_COUNT)
     ]
-    for load in loads:
-        load.start()
+    for thread in threads:
+        thread.start()
     wave_id = _declare_rack(site, scenario.maintained_rack)
-    _watch(site, wave_id)
-    for load in loads:
-        load.stopped.set()
+    _wait_until_finished(site, wave_id)
+    for thread in threads:
+        thread.stopped.set()
     outcomes: Counter[str] = Counter()
-    for load in loads:
-        load.join()
-        outcomes += load.outcomes
-    _say(f"requests during maintenance: {dict(outcomes)}")
-    _require(set(outcomes) == {"200 run"}, "maintenance cut off requests")
+    for thread in threads:
+        thread.join()
+        outcomes += thread.outcomes
+    _print_progress(f"requests during maintenance: {dict(outcomes)}")
+    _check(
+        set(outcomes) == {"200 run"},
+        "requests failed during maintenance",
+    )
 
 
 def _declare_rack(site: Site, rack: str) -> str:
@@ -200,32 +218,32 @@
         "deadline": (datetime.now(UTC) + timedelta(hours=1)).isoformat(),
     }
     response = site.operate(site.entries[1], "POST", "maintenance", body)
-    _require(response.status == 200, f"maintenance was refused: {response.body!r}")
+    _check(response.status == 200, f"maintenance was refused: {response.body!r}")
     wave = response.json()["wave"]
-    _say(f"maintenance of {rack} declared: {', '.join(wave['hosts'])}")
+    _print_progress(f"maintenance of {rack} declared: {', '.join(wave['hosts'])}")
     return wave["id"]
 
 
-def _watch(site: Site, wave_id: str) -> None:
-    shown: dict[str, Any] = {}
+def _wait_until_finished(site: Site, wave_id: str) -> None:
+    printed_states: dict[str, Any] = {}
 
     def is_finished() -> bool:
         answer = site.operate(site.entries[2], "GET", f"maintenance/{wave_id}")
         if answer.status != 200:
             return False
         progress = answer.json()
-        if progress["host_states"] != shown:
-            shown.clear()
-            shown.update(progress["host_states"])
-            _say(f"hosts: {shown}")
+        if progress["host_states"] != printed_states:
+            printed_states.clear()
+            printed_states.update(progress["host_states"])
+            _print_progress(f"hosts: {printed_states}")
         return progress["wave"]["state"] == "finished"
 
-    duration_s = wait_until(is_finished, "maintenance ends", MAINTENANCE_TIMEOUT_S)
-    _say(f"maintenance finished after {duration_s:.1f} s")
+    duration_s = wait_until(is_finished, "maintenance finishes", MAINTENANCE_TIMEOUT_S)
+    _print_progress(f"maintenance finished after {duration_s:.1f} s")
 
 
 def run(scenario: Scenario, folder: Path, port_shift: int) -> None:
-    """Runs all steps on a new site.
+    """Runs all steps of the quick start on a new site.
 
     :raises SystemExit: if a step fails.
     """
@@ -237,23 +255,23 @@
         settings={"drain_grace_s": 1.0},
     )
     try:
-        _say(f"starting {scenario.deployment}: stand-ins and 9 daemons")
+        _print_progress(f"starting {scenario.deployment}: stand-ins and 9 daemons")
         site.start()
-        _say("all entry hosts are ready")
+        _print_progress("all entry hosts are ready")
         _send_samples(site, scenario)
-        _show_state(site)
+        _print_status(site)
         _change_parameter(site, scenario)
         _maintain(site, scenario)
         exit_code = site.stop_entry(site.entries[0])
-        _say(f"planned stop of {site.entries[0]}: exit code {exit_code}")
-        _require(exit_code == 0, "the planned stop cut off requests")
+        _print_progress(f"planned stop of {site.entries[0]}: exit code {exit_code}")
+        _check(exit_code == 0, "the planned stop interrupted requests")
     finally:
         site.stop()
-    _say("all processes stopped")
+    _print_progress("all processes stopped")
 
 
 def main() -> None:
-    """Parses the arguments and runs the scenario."""
+    """Runs the scenario that the command line selects."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "deployment", nargs="?", default="ondangwa", choices=sorted(SCENARIOS)
--- a/scripts/quick_start.sh
+++ b/scripts/quick_start.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs into .venv, then runs the quick start. Argument: ondangwa or phalak.
+# Installs the package into .venv and runs the quick start.
+# Usage: scripts/quick_start.sh [ondangwa|phalak] [--port-shift N]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 python="${PYTHON:-python3.11}"
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,6 +1,7 @@
-"""Runs pytest and behave and closes with a line ``N passed, N failed``.
+"""Runs pytest and behave; the last line printed is ``N passed, N failed``.
 
-Tests named in ``KNOWN-RED.txt`` run and are printed, and don't count as failed.
+Tests listed in ``KNOWN-RED.txt`` run and their results are printed, but they count
+neither as passed nor as failed.
 """
 
 import json
@@ -16,10 +17,10 @@
 
 
 class Result(NamedTuple):
-    """Outcome of one test; ``name`` is what ``KNOWN-RED.txt`` lists."""
+    """Outcome of one test; ``name`` has the form used in ``KNOWN-RED.txt``."""
 
     name: str
-    passed: bool
+    has_passed: bool
 
 
 def _known_red() -> frozenset[str]:
@@ -66,7 +67,7 @@
         for element in feature.get("elements", [])
         if element["type"] == "scenario"
     ]
-    if status != 0 and all(result.passed for result in results):
+    if status != 0 and all(result.has_passed for result in results):
         results.append(Result(f"behave (exit status {status})", False))
     return results
 
@@ -81,10 +82,10 @@
     known_red = _known_red()
     for result in results:
         if result.name in known_red:
-            state = "passes now" if result.passed else "fails"
+            state = "passes now" if result.has_passed else "fails"
             print(f"known red, not counted: {result.name} ({state})")
     counted = [result for result in results if result.name not in known_red]
-    failed = [result for result in counted if not result.passed]
+    failed = [result for result in counted if not result.has_passed]
     for result in failed:
         print(f"FAILED {result.name}")
     print(f"{len(counted) - len(failed)} passed, {len(failed)} failed")
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs everything the tests need into .venv, then runs slice tests, property
-# tests and behave features. Closes with one line: "N passed, N failed".
+# Installs the package with its test dependencies into .venv, then runs the unit tests,
+# property tests and behave features. The last line printed is "N passed, N failed".
 set -uo pipefail
 cd "$(dirname "$0")/.."
 python="${PYTHON:-python3.11}"
