--- a/src/sycamorecroft/capacity/marks.py
+++ b/src/sycamorecroft/capacity/marks.py
@@ -48,7 +48,7 @@
             try:
                 marks = decode_row(row.value or b"", WorkerMarks)
             except RecordError as error:
-                _log.error("marks_malformed", service=row.key, error=str(error))
+                _log.error("marks_row_malformed", service=row.key, error=str(error))
                 continue
             self._stored[row.key] = marks
             self._reserved_versions |= dict.fromkeys(marks.reserved, row.version)
