--- a/properties/test_flood.py
+++ b/properties/test_flood.py
@@ -10,8 +10,11 @@
 
 @pytest.mark.parametrize("flooded", FLOODS)
 def test_flood_stops_no_other_team_class_or_queue(flooded):
-    # Guards against head-of-line blocking by the flooding team. The FIFO must miss
-    # targets on the same arrivals, which shows that the load is an overload.
+    """Guards against head-of-line blocking by the flooding team.
+
+    The FIFO must miss targets on the same arrivals, which shows that the load is an
+    overload.
+    """
     scenario = Scenario(run_seed(), 2.0, 4.0, flooded, 0)
     measured_runs = measure_runs(QueueOwnerModel, scenario)
     measured = list(
--- a/properties/test_owner.py
+++ b/properties/test_owner.py
@@ -245,9 +245,11 @@
     strategies.integers(0, 2**32),
 )
 def test_owner_follows_the_model(operations, random_seed):
-    # Guards against grants beyond the slots or the share (I10), grants on draining
-    # hosts (I6), and slots that are lost or counted twice because of late, repeated or
-    # misdirected messages.
+    """Guards against grants beyond the slots or share (I10) or on draining hosts (I6).
+
+    Also guards against slots that are lost or counted twice because of late, repeated
+    or misdirected messages.
+    """
     run = OwnerRun(random_seed)
     for operation in operations:
         run.apply(operation)
--- a/properties/test_version_gate.py
+++ b/properties/test_version_gate.py
@@ -229,6 +229,7 @@
 )
 @given(entry_hosts_count=st.sampled_from([3, 5, 9]), run_seed=st.integers(0, 2**32))
 def test_no_version_in_force_decreases_in_randomised_runs(entry_hosts_count, run_seed):
+    """Guards against versions in force that decrease after faults or restarts (I8)."""
     print(f"SYCAMORECROFT_SEED={SEED} entries={entry_hosts_count} run_seed={run_seed}")
     fleet = run_fleet(entry_hosts_count, run_seed)
     # Guards against a gate that is safe only because it puts no version in force.
--- a/src/sycamorecroft/admission/tests/test_service_queue.py
+++ b/src/sycamorecroft/admission/tests/test_service_queue.py
@@ -68,6 +68,7 @@
 
 
 def test_arrival_is_refused_when_the_wait_exceeds_the_remaining_time():
+    """Guards against admitting more, or far fewer, requests than can be served."""
     queue = ServiceQueue({})
     record_service_times(queue, 0.1)
     reasons = [offer(queue, request(n, deadline_s=1.0)) for n in range(100)]
@@ -77,6 +78,7 @@
 
 
 def test_urgent_request_beyond_the_wait_limit_is_refused_on_arrival_and_in_queue():
+    """Guards against urgent requests that wait beyond the limit and aren't refused."""
     queue = ServiceQueue({})
     record_service_times(queue, 0.1)
     reasons = [offer(queue, request(n, urgency=Urgency.URGENT)) for n in range(100)]
--- a/src/sycamorecroft/routing/tests/test_dispatch.py
+++ b/src/sycamorecroft/routing/tests/test_dispatch.py
@@ -163,6 +163,7 @@
 
 
 def test_refused_connection_is_not_sent(server, dispatcher):
+    """Guards against a refused connection that is reported as a possible run."""
     server.close()
     outcome = dispatch(dispatcher, server.address)
     assert outcome.kind is AttemptKind.NOT_SENT
@@ -171,6 +172,7 @@
 
 
 def test_request_after_its_deadline_is_not_sent(server, dispatcher):
+    """Guards against sending a request whose deadline has passed."""
     outcome = dispatch(dispatcher, server.address, timeout_s=-0.1)
     assert outcome.kind is AttemptKind.NOT_SENT
     assert outcome.reason is AttemptReason.DEADLINE
@@ -199,6 +201,7 @@
 
 
 def test_redirect_is_returned_and_not_followed(server, dispatcher):
+    """Guards against a redirect that sends the request to another address."""
     server.response = (
         b"HTTP/1.1 307 Moved\r\nLocation: http://127.0.0.1:1/\r\n"
         b"Content-Length: 0\r\n\r\n"
--- a/src/sycamorecroft/routing/tests/test_execution.py
+++ b/src/sycamorecroft/routing/tests/test_execution.py
@@ -209,6 +209,7 @@
     ],
 )
 def test_slot_is_released_when_a_dependency_raises(request_, attempt, claims):
+    """Guards against a slot that is lost when the claims or the dispatcher raise."""
     fixture = ExecutorFixture(attempt, claims=claims)
     with pytest.raises((RequestError, RuntimeError)):
         fixture.run(request_)
@@ -216,6 +217,7 @@
 
 
 def test_non_repeatable_request_needs_an_idempotency_key():
+    """Guards against a non-repeatable request without a key, which may run twice."""
     fixture = ExecutorFixture()
     with pytest.raises(RequestError, match="Idempotency-Key"):
         fixture.run(NON_REPEATABLE._replace(idempotency_key=None))
@@ -223,6 +225,7 @@
 
 
 def test_retry_avoids_the_hosts_that_failed():
+    """Guards against a retry on a failed host, and failures that aren't reported."""
     fixture = ExecutorFixture(NOT_SENT, NOT_SENT, COMPLETE)
     fixture.run(REQUEST)
     assert fixture.slots.demands[2].excluded_hosts == ("w1", "w2")
@@ -251,6 +254,7 @@
 
 
 def test_deadline_that_passes_after_the_grant_is_not_run():
+    """Guards against a dispatch after the deadline, and a claim that isn't released."""
     fixture = ExecutorFixture()
     fixture.clock.advance(11.0)
     execution = fixture.run(NON_REPEATABLE)
--- a/src/sycamorecroft/routing/tests/test_owner.py
+++ b/src/sycamorecroft/routing/tests/test_owner.py
@@ -65,6 +65,7 @@
 
 
 def test_grants_spread_over_workers_and_racks():
+    """Guards against a second grant on a worker while others are idle."""
     owner = new_owner(8)
     grants = [owner.request(request(n, 0.0), 0.0)[0] for n in range(8)]
     assert len({grant.host for grant in grants}) == 8
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -59,6 +59,7 @@
 
 
 def test_answer_has_digest_length_and_id_of_the_largest_body(start):
+    """Guards against a wrong digest, length or id for a body of the largest size."""
     client = start()
     body = bytes(range(256)) * (BODY_LIMIT_BYTES // 256)
     response = client.post(body)
@@ -72,6 +73,7 @@
 
 
 def test_busy_slots_refuse_with_the_configured_status_and_run_nothing(start):
+    """Guards against requests that run without a slot, and uncounted refusals."""
     client = start(slots_count=2, service_time_s=0.5, refusal_status=429)
     with ThreadPoolExecutor(6) as executor:
         statuses = list(executor.map(lambda _: client.post().status, range(6)))
@@ -81,6 +83,7 @@
 
 
 def test_connections_beyond_the_limit_are_refused(start):
+    """Guards against a connection limit that isn't enforced."""
     client = start(connections_count=1, service_time_s=0.3)
     with ThreadPoolExecutor(2) as executor:
         statuses = sorted(executor.map(lambda _: client.post().status, range(2)))
@@ -88,6 +91,7 @@
 
 
 def test_several_hundred_connections_are_served(start):
+    """Guards against refusals or mixed-up ids with 300 concurrent connections."""
     client = start(slots_count=300, connections_count=300, service_time_s=0.5)
     with ThreadPoolExecutor(300) as executor:
         responses = list(
@@ -107,6 +111,7 @@
     ],
 )
 def test_ledger_records_broken_answers(start, kind, ledger_flags):
+    """Guards against a ledger that doesn't show whether a broken exchange ran."""
     client = start()
     client.server.set_fault(BackendFault(kind, count=1))
     with pytest.raises(ProtocolError):
@@ -116,6 +121,7 @@
 
 
 def test_wrong_answers_are_well_formed(start):
+    """Guards against wrong-response faults without effect or with another length."""
     client = start()
     expected = client.post().data
     client.server.set_fault(BackendFault(BackendFaultKind.WRONG_BODY, count=1))
@@ -126,6 +132,7 @@
 
 
 def test_refusing_server_returns_at_its_port(start):
+    """Guards against a refusing server that runs requests or loses its port."""
     client = start()
     assert client.post().status == 200
     fault = {"server": "w0", "kind": "refuse"}
@@ -152,6 +159,7 @@
 
 
 def test_frozen_server_completes_after_it_resumes(start):
+    """Guards against a frozen server that completes requests, or then loses them."""
     client = start(service_time_s=0.1)
     with ThreadPoolExecutor(1) as executor:
         pending = executor.submit(client.post)
@@ -165,6 +173,7 @@
 
 
 def test_slow_fault_lengthens_counted_requests(start):
+    """Guards against a slow fault that has no effect or outlasts its count."""
     client = start()
     client.server.set_fault(BackendFault(BackendFaultKind.SLOW, count=1, delay_s=0.2))
     client.post()
@@ -176,6 +185,7 @@
 
 
 def test_service_times_depend_on_the_seed_only():
+    """Guards against service times that differ between runs or miss the setting."""
     settings = BackendSettings(
         service_times_s={"rating": 0.05}, spread_ratio=0.5, seed=3
     )
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -50,6 +50,7 @@
 
 
 def test_arrivals_depend_on_the_seed_only():
+    """Guards against arrivals that don't follow the seed or lie outside their phase."""
     arrivals = plan_arrivals(_plan())
     assert arrivals == plan_arrivals(_plan())
     assert arrivals != plan_arrivals(_plan(seed=12))
@@ -59,6 +60,7 @@
 
 
 def test_arrival_rate_is_as_planned():
+    """Guards against an arrival rate that differs from the planned one."""
     phase = PhaseBody(name="long", duration_s=200.0, flows=[RATING])
     count = len(plan_arrivals(_plan(phases=[phase])))
     # Four standard deviations of a Poisson count with a mean of 20,000.
@@ -74,11 +76,13 @@
     ],
 )
 def test_plan_outside_the_limits_is_refused(changes, message):
+    """Guards against load on other hosts, without addresses or above the limit."""
     with pytest.raises(ValueError, match=message):
         read_plan(msgspec.json.encode(_plan(**changes)))
 
 
 def test_each_sent_request_ran_and_is_counted(fleet):
+    """Guards against a summary that omits requests or counts those that did not run."""
     plan = _plan(fleet.addresses()["w0"])
     summary = run_plan(plan)["by_service"]
     assert set(summary) == {"base/rating", "base/hotline", "peak/rating"}
@@ -90,6 +94,7 @@
 
 
 def test_wrong_bodies_and_resets_are_not_good(fleet):
+    """Guards against wrong or missing responses that are counted as good."""
     server = fleet.servers["w0"]
     server.set_fault(BackendFault(BackendFaultKind.WRONG_BODY, count=3))
     server.set_fault(BackendFault(BackendFaultKind.RESET_AFTER_READ, count=2))
@@ -101,6 +106,7 @@
 
 
 def test_refused_address_is_skipped(fleet):
+    """Guards against requests that fail although another address accepts them."""
     with socket.create_server(("127.0.0.1", 0)) as unused:
         refused = f"127.0.0.1:{unused.getsockname()[1]}"
     summary = run_plan(_plan(refused, fleet.addresses()["w0"]))["by_service"]
@@ -110,6 +116,7 @@
 
 
 def test_requests_beyond_concurrency_and_deadline_are_not_sent(fleet):
+    """Guards against load beyond the plan, and unsent requests counted as sent."""
     fleet.servers["w0"].set_fault(BackendFault(BackendFaultKind.SLOW, delay_s=0.3))
     plan = _plan(fleet.addresses()["w0"], concurrency_count=2, deadline_s=0.5)
     summary = run_plan(plan)["by_service"]
@@ -120,6 +127,7 @@
 
 
 def test_summary_quantiles_and_goodput():
+    """Guards against latencies that omit late requests, and goodput with them."""
     samples = [
         Sample("p", "s", "urgent", "t", str(n), Verdict.GOOD, 200, "", n / 1000)
         for n in range(1, 101)
--- a/tests/test_memory_platform.py
+++ b/tests/test_memory_platform.py
@@ -39,6 +39,7 @@
 
 
 def test_host_list_lags_and_rebooted_host_returns(platform, clock):
+    """Guards against a list without lag, and a repeated call that reboots again."""
     platform.control.reboot("w1", operation_id="o1")
     assert _statuses(platform) == [HostStatus.LIVE]
     clock.advance(5)
@@ -53,6 +54,7 @@
 
 
 def test_removed_host_stays_in_the_list_for_the_lag(platform, clock):
+    """Guards against a removed host that leaves the list early or stays known."""
     platform.hosts.declare([])
     clock.advance(4.9)
     assert len(_statuses(platform)) == 1
@@ -63,6 +65,7 @@
 
 
 def test_lease_expires_unless_renewed(platform, clock):
+    """Guards against a lease that ignores its renewal or is renewed once expired."""
     platform.tasks.start(START)
     clock.advance(9)
     platform.tasks.renew("t1", epoch=2, lease_s=10)
@@ -75,6 +78,7 @@
 
 
 def test_lower_epoch_is_refused_for_each_call(platform):
+    """Guards against a former lease holder that still stops or starts tasks."""
     platform.tasks.start(START)
     platform.tasks.renew("t1", epoch=3, lease_s=10)
     with pytest.raises(NotLeaseHolderError):
@@ -85,6 +89,7 @@
 
 
 def test_repeated_start_runs_the_task_once(platform, clock):
+    """Guards against a repeated start that runs an ended task again."""
     request = START._replace(command="duration_s=4 outcome=failed")
     platform.tasks.start(request)
     clock.advance(4)
@@ -95,6 +100,7 @@
 
 
 def test_throttled_task_runs_longer_and_its_usage_lags(platform, clock):
+    """Guards against a throttle without effect, and task usage without lag."""
     platform.tasks.start(START._replace(command="duration_s=4 processors=6"))
     platform.tasks.throttle("t1", epoch=2, ratio=0.5)
     assert platform.tasks.get("t1").usage.processors_count == 0
@@ -106,6 +112,7 @@
 
 
 def test_restart_from_checkpoint_keeps_progress(platform, clock):
+    """Guards against lost checkpoint progress, and a start on a rebooting host."""
     platform.tasks.start(START._replace(command="duration_s=8"))
     clock.advance(6)
     platform.tasks.checkpoint("t1", epoch=2)
--- a/tests/test_memory_tables.py
+++ b/tests/test_memory_tables.py
@@ -23,6 +23,7 @@
 
 
 def test_failed_check_writes_nothing():
+    """Guards against a failed transaction that writes rows or uses up a version."""
     tables = MemoryTables()
     version = _put(tables, "a")
     checks = [Check("t", "a", version), Check("t", "b", version)]
@@ -33,6 +34,7 @@
 
 
 def test_delta_scan_reports_rows_deleted_since():
+    """Guards against deleted rows that a delta scan omits or a full scan returns."""
     tables = MemoryTables()
     _put(tables, "a")
     seen = _put(tables, "b")
@@ -51,6 +53,7 @@
 
 
 def test_concurrent_conditional_writes_lose_no_update():
+    """Guards against lost updates of concurrent conditional writes."""
     tables = MemoryTables()
     _put(tables, "n", b"0")
 
@@ -75,6 +78,7 @@
 
 
 def test_lost_response_has_taken_effect_and_outage_has_not():
+    """Guards against a lost response without effect, and an outage that writes."""
     tables = MemoryTables()
     tables.faults.lose_responses(count=1)
     with pytest.raises(StoreOutcomeUnknownError):
@@ -87,6 +91,7 @@
 
 
 def test_lost_response_hides_a_conflict():
+    """Guards against a lost response that still reveals a conflict to the caller."""
     tables = MemoryTables()
     tables.faults.lose_responses(count=1)
     with pytest.raises(StoreOutcomeUnknownError):
@@ -94,6 +99,7 @@
 
 
 def test_outage_ends_by_the_clock_and_affects_one_handle():
+    """Guards against an outage that affects other handles or outlasts its duration."""
     clock = ManualClock()
     tables = MemoryTables(FaultInjector(clock))
     other = tables.connect()
@@ -106,6 +112,7 @@
 
 
 def test_delay_beyond_the_timeout_loses_the_response():
+    """Guards against a delayed call that outlasts its timeout or isn't applied."""
     clock = ManualClock()
     tables = MemoryTables(FaultInjector(clock, sleep=clock.advance, timeout_s=1.0))
     tables.faults.set_delay(3.0, count=1)
@@ -119,6 +126,7 @@
     "puts", [[Put("t", "a", b"no json")], [Put("t", "a", b"1")] * 2]
 )
 def test_malformed_transaction_is_rejected(puts: list[Put]):
+    """Guards against stored values that aren't JSON, and two writes of one row."""
     tables = MemoryTables()
     with pytest.raises(PlatformError):
         tables.transact([], puts, purpose=PURPOSE)
--- a/tests/test_platform_service.py
+++ b/tests/test_platform_service.py
@@ -57,6 +57,7 @@
 
 
 def test_declared_host_reboots_for_the_set_time(connection, call):
+    """Guards against hosts and settings sent over HTTP that have no effect."""
     call("POST", "/settings", json={"reboot_s": 0.0, "host_list_lag_s": 0.0})
     call("POST", "/hosts", json={"hosts": [host_body(WORKER)]})
     assert HttpHostList(connection).list_hosts().hosts == (WORKER,)
@@ -68,6 +69,7 @@
 
 
 def test_faults_are_set_for_one_service_and_cleared(connection, call):
+    """Guards against faults that affect other services or remain once cleared."""
     tables = HttpTableService(connection)
     call("POST", "/faults", json={"service": "tables", "kind": "down"})
     with pytest.raises(StoreUnavailableError):
@@ -88,18 +90,21 @@
     ],
 )
 def test_malformed_fault_is_refused(call, body, message):
+    """Guards against a mistyped fault that is accepted and has no effect."""
     response = call("POST", "/faults", json=body)
     assert response.status == 400
     assert message in response.json()["error"]
 
 
 def test_calls_are_counted_by_purpose(connection, call):
+    """Guards against calls that are counted under another purpose or not at all."""
     HttpTableService(connection).read("t", "a", purpose=PURPOSE)
     calls = call("GET", "/counts").json()["calls"]
     assert calls == [{"purpose": "jobs", "operation": "read", "count": 1}]
 
 
 def test_tasks_end_in_the_requested_state(connection, call):
+    """Guards against tasks that don't end in the state requested over HTTP."""
     call("POST", "/hosts", json={"hosts": [host_body(WORKER)]})
     tasks = HttpTaskService(connection)
     start = TaskStart("t1", "w1", "jobs/p", 1, 9.0, TaskSize(1, 8, 0), "", None)
