--- a/standins/load_summary.py
+++ b/standins/load_summary.py
@@ -76,7 +76,7 @@
 
 def quantile(sorted_values: Sequence[float], ratio: float) -> float:
     """
-    :param ordered: values in ascending order, at least one.
+    :param sorted_values: values in ascending order, at least one.
     :returns: smallest value such that at least ``ratio`` of all values don't exceed
         it.
     """
