--- /dev/null
+++ b/src/sycamorecroft/node/service_supervisor.py
@@ -0,0 +1,201 @@
+"""Claims services for this entry host and runs those that it owns."""
+
+import threading
+from collections.abc import Callable
+from typing import NamedTuple
+
+import structlog
+
+from sycamorecroft.clock import Clock
+from sycamorecroft.concurrency import Ticker
+from sycamorecroft.errors import PlatformError
+from sycamorecroft.metrics import OWNERSHIP_CHANGES
+from sycamorecroft.node.fleet_controller import FleetController
+from sycamorecroft.node.owned_service import OwnedService
+from sycamorecroft.node.worker_directory import WorkerDirectory
+from sycamorecroft.ownership import Ownership
+from sycamorecroft.ownership.owner import ClaimedService
+from sycamorecroft.recorder import Recorder
+from sycamorecroft.scheduling.model import FleetSnapshot, WorkerRegistration
+from sycamorecroft.scheduling.pool_rows import FLEET_CONTROLLER_CLAIM
+from sycamorecroft.store.interfaces import Row
+
+_log = structlog.get_logger(__name__)
+
+JOINING_INTERVAL_S = 0.1
+WORKERS_UPDATE_INTERVAL_S = 0.25
+# All services get their workers this often, since one that is being claimed while a
+# registration changes may miss the change.
+FULL_UPDATE_INTERVAL_S = 1.0
+MIN_WAIT_S = 0.05
+
+
+class OwnedServiceFactories(NamedTuple):
+    """Creates the components that run while this entry host holds a claim."""
+
+    create_service: Callable[
+        [ClaimedService, tuple[WorkerRegistration, ...]], OwnedService
+    ]
+    create_fleet_controller: Callable[[ClaimedService], FleetController]
+
+
+class ServiceSupervisor:
+    """Sends heartbeats, claims unowned services, and starts and stops owned ones."""
+
+    def __init__(
+        self,
+        ownership: Ownership,
+        directory: WorkerDirectory,
+        clock: Clock,
+        fleet: Callable[[], FleetSnapshot | None],
+        factories: OwnedServiceFactories,
+        recorder: Recorder,
+    ) -> None:
+        """
+        :param fleet: returns the configuration in force; ``None`` before one was read.
+        """
+        self._ownership = ownership
+        self._directory = directory
+        self._clock = clock
+        self._fleet = fleet
+        self._factories = factories
+        self._recorder = recorder
+        self._lock = threading.RLock()
+        self._wake_event = threading.Event()
+        self._stopping = threading.Event()
+        self.owned: dict[str, OwnedService] = {}
+        self._fleet_controller: FleetController | None = None
+        self._next_full_update_s = 0.0
+        self._ticker = Ticker(
+            "update-workers", WORKERS_UPDATE_INTERVAL_S, self._update_workers
+        )
+
+    def start(self) -> None:
+        """Starts the threads."""
+        threading.Thread(target=self._run, name="ownership", daemon=True).start()
+        self._ticker.start()
+
+    def stop(self) -> None:
+        """Stops and releases all services, so that others can claim them at once."""
+        self._stopping.set()
+        self._ticker.stop()
+        with self._lock:
+            for name in list(self._ownership.owned):
+                self._stop_owned(name)
+                self._ownership.release(name)
+
+    def wake(self) -> None:
+        """Makes the thread check ownership at once."""
+        self._wake_event.set()
+
+    def apply_owner_rows(self, rows: tuple[Row, ...]) -> None:
+        """Applies changed rows of owners."""
+        with self._lock:
+            self._ownership.apply_owner_rows(rows)
+        self._wake_event.set()
+
+    def _run(self) -> None:
+        next_heartbeat_s = 0.0
+        while not self._stopping.is_set():
+            now_s = self._clock.monotonic_s()
+            try:
+                if now_s >= next_heartbeat_s:
+                    next_heartbeat_s = now_s + self._ownership.heartbeat_interval_s
+                    self._ownership.send_heartbeat()
+                self._update()
+                # The interval is shorter once a service was claimed.
+                latest_s = now_s + self._ownership.heartbeat_interval_s
+                next_heartbeat_s = min(next_heartbeat_s, latest_s)
+            except PlatformError as error:
+                _log.debug("ownership_renewal_failed", error=str(error))
+            except Exception:
+                # The thread must survive any error, or the entry host would send no
+                # heartbeats and lose all its services.
+                _log.exception("ownership_update_failed")
+            wait_s = max(MIN_WAIT_S, next_heartbeat_s - self._clock.monotonic_s())
+            if self._ownership.is_joining:
+                wait_s = JOINING_INTERVAL_S
+            self._wake_event.wait(wait_s)
+            self._wake_event.clear()
+
+    def _update(self) -> None:
+        fleet = self._fleet()
+        if fleet is None:
+            return
+        with self._lock:
+            if self._stopping.is_set():
+                return
+            for name in self._ownership.remove_lost_services():
+                self._stop_owned(name)
+            for claimed in self._ownership.claim_unowned_services(
+                _names_to_claim(fleet)
+            ):
+                self._start_owned(claimed)
+
+    def _start_owned(self, claimed: ClaimedService) -> None:
+        name = claimed.claim.service
+        self._stop_owned(name)
+        try:
+            if name == FLEET_CONTROLLER_CLAIM:
+                self._fleet_controller = self._factories.create_fleet_controller(
+                    claimed
+                )
+                self._fleet_controller.start()
+            else:
+                self._directory.refresh()
+                workers = self._directory.list_workers(name)
+                self.owned[name] = self._factories.create_service(claimed, workers)
+        except PlatformError as error:
+            _log.warning("service_start_failed", service=name, error=str(error))
+            self._ownership.owned.pop(name, None)
+            return
+        self._recorder.count(OWNERSHIP_CHANGES, change="claimed")
+
+    def _stop_owned(self, name: str) -> None:
+        if name == FLEET_CONTROLLER_CLAIM:
+            if self._fleet_controller is not None:
+                self._fleet_controller.stop()
+            self._fleet_controller = None
+            return
+        owned = self.owned.pop(name, None)
+        if owned is not None:
+            owned.stop()
+
+    def handle_lost_service(self, name: str) -> None:
+        """Stops a service that another entry host owns.
+
+        Does so in a thread of its own, since the caller is the service's actor, which
+        must not wait for the lock.
+        """
+        threading.Thread(target=self._remove_lost, args=(name,), daemon=True).start()
+
+    def _remove_lost(self, name: str) -> None:
+        self._recorder.count(OWNERSHIP_CHANGES, change="lost")
+        with self._lock:
+            self._ownership.owned.pop(name, None)
+            self._stop_owned(name)
+
+    def _update_workers(self) -> None:
+        if not self.owned or self._stopping.is_set():
+            return
+        try:
+            changed = self._directory.refresh()
+        except PlatformError as error:
+            _log.debug("worker_registrations_not_read", error=str(error))
+            return
+        now_s = self._clock.monotonic_s()
+        is_full_update_due = now_s >= self._next_full_update_s
+        if is_full_update_due:
+            self._next_full_update_s = now_s + FULL_UPDATE_INTERVAL_S
+        for name, owned in list(self.owned.items()):
+            if is_full_update_due or name in changed:
+                owned.update_workers(self._directory.list_workers(name))
+
+
+def _names_to_claim(fleet: FleetSnapshot) -> list[str]:
+    """
+    :returns: names of all services with workers to schedule, and that of the fleet
+        controller's claim.
+    """
+    names = [service.name for service in fleet.services if not service.is_standby]
+    return [*names, FLEET_CONTROLLER_CLAIM]
--- a/src/sycamorecroft/scheduling/run_book.py
+++ b/src/sycamorecroft/scheduling/run_tracker.py
@@ -1,35 +1,35 @@
-"""Runs of a service's tasks: how they are stopped, and what their ends mean."""
+"""Stops runs of a service's tasks and applies the outcomes of finished runs."""
 
 from collections.abc import Callable, Iterable
 
 import structlog
 
-from sycamorecroft.metrics import JOB_ENDS, RUN_ENDS
+from sycamorecroft.metrics import JOB_OUTCOMES, RUN_OUTCOMES
 from sycamorecroft.recorder import Recorder
-from sycamorecroft.scheduling.calls import RunEnd
+from sycamorecroft.scheduling.calls import RunOutcome
 from sycamorecroft.scheduling.jobs import Job, Run, RunPhase, Task
-from sycamorecroft.scheduling.orders import OrderBook
+from sycamorecroft.scheduling.orders import OrderQueue
 from sycamorecroft.scheduling.rows import JobState
 from sycamorecroft.scheduling.workers import Worker
 
 _log = structlog.get_logger(__name__)
 
 
-class RunBook:
-    """Ends and stops of runs on the workers of one service. Not thread-safe."""
+class RunTracker:
+    """Tracks the runs on the workers of one service until they end. Not thread-safe."""
 
     def __init__(
         self,
         service: str,
         epoch: int,
         workers: dict[str, Worker],
-        orders: OrderBook,
+        orders: OrderQueue,
         recorder: Recorder,
         on_changed: Callable[[Job], None],
     ) -> None:
         """
-        :param epoch: epoch of the owner's claim, for its log lines.
-        :param on_changed: told of each job whose progress has changed.
+        :param epoch: epoch of the owner's claim, for log lines.
+        :param on_changed: called with each job whose progress has changed.
         """
         self._service = service
         self._epoch = epoch
@@ -38,8 +38,10 @@
         self._recorder = recorder
         self._on_changed = on_changed
 
-    def end(self, run: Run, end: RunEnd, checkpoint: str, now_s: float) -> None:
-        """Frees the run's room and decides what its end means for the task."""
+    def finish_run(
+        self, run: Run, outcome: RunOutcome, checkpoint: str, now_s: float
+    ) -> None:
+        """Releases a run's resources and applies its outcome to task and job."""
         task = run.task
         worker = self._workers.get(run.worker_id)
         if worker is not None:
@@ -49,27 +51,27 @@
         if checkpoint:
             task.checkpoint = checkpoint
         self._on_changed(task.job)
-        self._recorder.count(RUN_ENDS, service=self._service, end=end.value)
+        self._recorder.count(RUN_OUTCOMES, service=self._service, end=outcome.value)
         _log.info(
             "run_ended",
             task=task.id.name,
             attempt=run.attempt,
             worker=run.worker_id,
-            end=end,
+            end=outcome,
             duration_s=round(now_s - run.started_s, 3),
             failures_count=task.failures_count,
         )
         if not task.job.is_active:
             return
-        if end is RunEnd.DONE:
+        if outcome is RunOutcome.DONE:
             self._complete_task(task, worker, now_s, now_s - run.started_s)
-        elif end is RunEnd.FAILED:
+        elif outcome is RunOutcome.FAILED:
             self._fail_task(task, worker, now_s)
 
-    def lapse(self, runs: Iterable[Run], now_s: float) -> None:
-        """Ends runs that their worker doesn't have any more."""
+    def expire_runs(self, runs: Iterable[Run], now_s: float) -> None:
+        """Finishes runs that are no longer in progress on their worker."""
         for run in runs:
-            self.end(run, RunEnd.LAPSED, "", now_s)
+            self.finish_run(run, RunOutcome.EXPIRED, "", now_s)
 
     def _complete_task(
         self, task: Task, worker: Worker | None, now_s: float, duration_s: float
@@ -85,9 +87,9 @@
             members = task.job.step_tasks(task.id.occurrence, task.id.step)
         for member in members:
             member.is_done = True
-        task.job.chain_left_s = None
+        task.job.critical_path_left_s = None
         if task.job.is_complete():
-            self.finish(task.job, JobState.COMPLETE, now_s)
+            self.finish_job(task.job, JobState.COMPLETE, now_s)
 
     def _fail_task(self, task: Task, worker: Worker | None, now_s: float) -> None:
         job = task.job
@@ -98,19 +100,19 @@
                 "worker_quarantined",
                 worker=worker.id,
                 until_s=round(worker.quarantined_until_s, 3),
-                reason="runs of several jobs failed in a row",
+                reason="consecutive runs of several jobs failed",
             )
         if task.spec.is_long_running:
             return
         task.failures_count += 1
         if task.failures_count >= job.queue.attempts_count:
-            self.finish(job, JobState.FAILED, now_s)
+            self.finish_job(job, JobState.FAILED, now_s)
 
-    def finish(self, job: Job, state: JobState, now_s: float) -> None:
-        """Ends a job and stops what still runs of it."""
+    def finish_job(self, job: Job, state: JobState, now_s: float) -> None:
+        """Sets a job's final state and stops its remaining runs."""
         job.state = state
         self._on_changed(job)
-        self._recorder.count(JOB_ENDS, service=self._service, state=state.value)
+        self._recorder.count(JOB_OUTCOMES, service=self._service, state=state.value)
         _log.info(
             "job_ended",
             job=job.id,
@@ -120,26 +122,26 @@
             epoch=self._epoch,
         )
         for run in job.runs():
-            self.stop(run, now_s)
+            self.stop_run(run, now_s)
 
-    def stop(self, run: Run, now_s: float) -> None:
-        """Ends a run; its room is free only once the worker says so."""
+    def stop_run(self, run: Run, now_s: float) -> None:
+        """Stops a run, whose resources are released once the worker confirms it."""
         if run.phase is RunPhase.COMMITTING:
-            self.end(run, RunEnd.STOPPED, "", now_s)
+            self.finish_run(run, RunOutcome.STOPPED, "", now_s)
             return
         if run.phase is RunPhase.STOPPING:
             return
         run.phase = RunPhase.STOPPING
-        run.settled_s = None
+        run.confirmed_s = None
         self._order_stop(run, now_s)
 
     def retry_stops(self, now_s: float) -> None:
-        """Orders again what workers in contact haven't confirmed."""
+        """Repeats stop orders that reachable workers haven't confirmed."""
         for worker in self._workers.values():
             if not worker.is_in_contact(now_s):
                 continue
             for run in worker.runs.values():
-                if run.phase is RunPhase.STOPPING and run.settled_s is None:
+                if run.phase is RunPhase.STOPPING and run.confirmed_s is None:
                     self._order_stop(run, now_s)
 
     def _order_stop(self, run: Run, now_s: float) -> None:
--- a/src/sycamorecroft/scheduling/workers.py
+++ b/src/sycamorecroft/scheduling/workers.py
@@ -1,30 +1,31 @@
-"""Workers in the memory of a service's owner."""
+"""State of a service's workers in the memory of the service's owner."""
 
 from collections.abc import Iterable
 from statistics import median
 from typing import NamedTuple
 
 from sycamorecroft.scheduling.jobs import Run, RunPhase
-from sycamorecroft.scheduling.model import Resources, WorkerEntry
+from sycamorecroft.scheduling.model import Resources, WorkerRegistration
 
-# A worker answers a list of runs at least once in this time, unless something is wrong.
+# A healthy worker answers a call to renew leases at least once in this time.
 CONTACT_TIMEOUT_S = 2.5
-# Failures in a row, of so many jobs or of two, point to the worker.
+# A worker is quarantined after consecutive failures of this many distinct jobs.
 FAILED_JOBS_TO_QUARANTINE_COUNT = 3
+# A worker is quarantined after this many consecutive failures of two jobs or more.
 FAILURES_TO_QUARANTINE_COUNT = 4
 QUARANTINE_S = 2.0
-# A run whose progress hasn't changed for this long stands still.
+# A run whose progress hasn't changed for this long is stalled.
 STALLED_S = 1.5
-# Weight of the latest run in a worker's mean ratio of time taken to time estimated.
+# Weight of the latest run in the moving average of actual to estimated duration.
 RATIO_WEIGHT = 0.3
 RATIO_SAMPLES_MIN_COUNT = 3
-# A worker this much slower than the middle one of its pool gets tasks last.
+# A worker this many times slower than the median of its pool is ranked last.
 SLOW_RATIO = 2.0
 QUARANTINE_MAX_S = 8.0
 
 
-class PlacementUse(NamedTuple):
-    """Key of the count of tasks of a step on a worker."""
+class StepKey(NamedTuple):
+    """Key of the number of tasks of a step on a worker."""
 
     job_id: str
     occurrence: int
@@ -34,125 +35,133 @@
 class Worker:
     """A worker of the service, with the runs assigned to it.
 
-    ``lease_end_s`` is the time by which the worker has ended all runs unless it is
-    reached again. ``heard_s`` is when it last answered a list of runs, ``listed_s``
-    when it was first listed, ``paced_s`` when shares of its runs were last changed.
-    ``is_held_for_move``: its room is kept for a long-running task that must move.
+    All times are monotonic. ``lease_end_s`` is the time by which the worker has ended
+    all runs unless their leases are renewed. ``last_contact_s`` is the time of its last
+    run list, ``registered_s`` the time at which its registration was first seen, and
+    ``throttled_s`` the time at which the shares of its runs last changed.
+    ``is_evacuation_target``: its free capacity is kept for a long-running task that
+    moves off another worker. ``is_reserved`` and ``is_due`` are marks of planned work.
     """
 
     def __init__(
-        self, entry: WorkerEntry, lease_end_s: float, listed_s: float = 0.0
+        self,
+        registration: WorkerRegistration,
+        lease_end_s: float,
+        registered_s: float = 0.0,
     ) -> None:
-        self.entry = entry
-        self.listed_s = listed_s
-        self.is_listed = True
+        self.registration = registration
+        self.registered_s = registered_s
+        self.is_registered = True
         self.is_reserved = False
         self.is_due = False
-        self.is_held_for_move = False
+        self.is_evacuation_target = False
         self.lease_end_s = lease_end_s
-        self.heard_s: float | None = None
-        self.is_silent = False
-        self.born_ms = entry.born_ms
+        self.last_contact_s: float | None = None
+        self.is_contact_lost = False
+        self.incarnation_ms = registration.incarnation_ms
         self.runs: dict[str, Run] = {}
         self.used = Resources()
         self.long_running_count = 0
-        self.processed_end = 0
-        self._use_counts: dict[PlacementUse, int] = {}
+        self.last_processed_number = 0
+        self._step_task_counts: dict[StepKey, int] = {}
         self._failed_jobs: set[str] = set()
         self._failures_count = 0
         self._quarantines_count = 0
         self.quarantined_until_s = 0.0
         self._time_ratio = 0.0
         self._time_samples_count = 0
-        self.paced_s = 0.0
+        self.throttled_s = 0.0
         self.is_slow = False
-        self.is_held_back = False
+        self.is_stalled = False
 
     @property
     def id(self) -> str:
-        """Id under which the worker registered."""
-        return self.entry.worker_id
+        """Id of the worker's registration."""
+        return self.registration.worker_id
 
     @property
     def free(self) -> Resources:
-        """Capacity that no run takes."""
-        return self.entry.capacity.minus(self.used)
+        """Capacity that isn't allocated to a run."""
+        return self.registration.capacity.minus(self.used)
 
     def is_in_contact(self, now_s: float) -> bool:
         """
-        :returns: whether the worker answered of late.
+        :returns: whether the worker answered within the last 2.5 s.
         """
-        return self.heard_s is not None and now_s - self.heard_s < CONTACT_TIMEOUT_S
+        return (
+            self.last_contact_s is not None
+            and now_s - self.last_contact_s < CONTACT_TIMEOUT_S
+        )
 
-    def is_expected(self, now_s: float) -> bool:
+    def is_presumed_reachable(self, now_s: float) -> bool:
         """
-        :returns: whether the worker answers, or was listed so lately that it may not
-            have been asked yet.
+        :returns: whether the worker is in contact, or registered so recently that it
+            may not have been called yet.
         """
-        if self.heard_s is None:
-            return now_s - self.listed_s < CONTACT_TIMEOUT_S
+        if self.last_contact_s is None:
+            return now_s - self.registered_s < CONTACT_TIMEOUT_S
         return self.is_in_contact(now_s)
 
-    def takes_tasks(self, now_s: float) -> bool:
+    def accepts_tasks(self, now_s: float) -> bool:
         """
         :returns: whether new tasks may be placed on the worker.
         """
         return (
-            self.is_listed
-            and not self.entry.is_draining
+            self.is_registered
+            and not self.registration.is_draining
             and not self.is_reserved
             and now_s >= self.quarantined_until_s
             and self.is_in_contact(now_s)
         )
 
     def add(self, run: Run) -> None:
-        """Counts a run that is assigned to the worker."""
+        """Adds a run and allocates its resources."""
         task = run.task
         self.runs[task.id.name] = run
-        self.used = self.used.plus(task.spec.reserved)
+        self.used = self.used.plus(task.spec.allocation)
         self.long_running_count += task.spec.is_long_running
-        use = _use_of(run)
-        self._use_counts[use] = self._use_counts.get(use, 0) + 1
+        key = _step_key(run)
+        self._step_task_counts[key] = self._step_task_counts.get(key, 0) + 1
 
     def remove(self, run: Run) -> None:
-        """Frees what a run took."""
+        """Removes a run and releases its resources."""
         task = run.task
         if self.runs.pop(task.id.name, None) is None:
             return
-        self.used = self.used.minus(task.spec.reserved)
+        self.used = self.used.minus(task.spec.allocation)
         self.long_running_count -= task.spec.is_long_running
-        use = _use_of(run)
-        self._use_counts[use] -= 1
-        if not self._use_counts[use]:
-            del self._use_counts[use]
+        key = _step_key(run)
+        self._step_task_counts[key] -= 1
+        if not self._step_task_counts[key]:
+            del self._step_task_counts[key]
 
-    def tasks_of_step_count(self, job_id: str, occurrence: int, step: int) -> int:
+    def step_tasks_count(self, job_id: str, occurrence: int, step: int) -> int:
         """
-        :returns: tasks of the step that are assigned to the worker.
+        :returns: number of the step's tasks that are assigned to the worker.
         """
-        return self._use_counts.get(PlacementUse(job_id, occurrence, step), 0)
+        return self._step_task_counts.get(StepKey(job_id, occurrence, step), 0)
 
     @property
     def failed_jobs_count(self) -> int:
-        """Jobs whose runs failed here since the last run that ended well."""
+        """Number of jobs whose runs failed here since the last successful run."""
         return len(self._failed_jobs)
 
     @property
     def time_ratio(self) -> float | None:
-        """Mean ratio of time taken to time estimated, ``None`` if little is known."""
+        """Mean ratio of actual to estimated duration, ``None`` with too few samples."""
         if self._time_samples_count < RATIO_SAMPLES_MIN_COUNT:
             return None
         return self._time_ratio
 
     def record_duration(self, ratio: float) -> None:
-        """Records a run's ratio of time taken to time estimated."""
+        """Records the ratio of a run's actual to its estimated duration."""
         weight = RATIO_WEIGHT if self._time_samples_count else 1.0
         self._time_ratio += weight * (ratio - self._time_ratio)
         self._time_samples_count += 1
 
-    def is_stalled(self, now_s: float) -> bool:
+    def has_stalled_run(self, now_s: float) -> bool:
         """
-        :returns: whether a task that should advance stands still here.
+        :returns: whether a run that should make progress makes none.
         """
         return any(
             run.progress_percent < 100 and now_s - run.progressed_s > STALLED_S
@@ -161,18 +170,18 @@
         )
 
     def record_success(self) -> None:
-        """Records that a run ended well here."""
+        """Records a successful run, which resets the counts of failures."""
         self._failed_jobs.clear()
         self._failures_count = 0
         self._quarantines_count = 0
 
     def record_failure(self, job_id: str, now_s: float) -> bool:
-        """Records that a run failed here.
+        """Records a failed run.
 
-        Failures of several jobs with no success in between point to the worker rather
-        than to the jobs.
+        Failures of several jobs with no success in between indicate a fault of the
+        worker rather than of the jobs.
 
-        :returns: whether the worker is quarantined by this.
+        :returns: whether the worker was quarantined as a result.
         """
         self._failed_jobs.add(job_id)
         self._failures_count += 1
@@ -186,22 +195,22 @@
         return True
 
     def quarantine(self, now_s: float) -> None:
-        """Takes the worker out of placement for a time that doubles."""
+        """Excludes the worker from placement: 2 s at first, then doubled up to 8 s."""
         duration_s = min(QUARANTINE_MAX_S, QUARANTINE_S * 2**self._quarantines_count)
         self._quarantines_count = min(8, self._quarantines_count + 1)
         self.quarantined_until_s = now_s + duration_s
 
 
-def mark_slow_workers(workers: Iterable[Worker]) -> None:
-    """Marks workers that take much longer than the middle one of the pool."""
-    known = [worker for worker in workers if worker.time_ratio is not None]
-    if not known:
+def flag_slow_workers(workers: Iterable[Worker]) -> None:
+    """Flags workers that take much longer than the median of the pool."""
+    rated = [worker for worker in workers if worker.time_ratio is not None]
+    if not rated:
         return
-    middle = median(worker.time_ratio for worker in known)
-    for worker in known:
-        worker.is_slow = worker.time_ratio > SLOW_RATIO * middle
+    median_ratio = median(worker.time_ratio for worker in rated)
+    for worker in rated:
+        worker.is_slow = worker.time_ratio > SLOW_RATIO * median_ratio
 
 
-def _use_of(run: Run) -> PlacementUse:
+def _step_key(run: Run) -> StepKey:
     task_id = run.task.id
-    return PlacementUse(task_id.job_id, task_id.occurrence, task_id.step)
+    return StepKey(task_id.job_id, task_id.occurrence, task_id.step)
