--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -35,7 +35,7 @@
 from sycamorecroft.pools.records import HOSTS_TABLE
 from sycamorecroft.pools.view import PoolViewReader
 from sycamorecroft.pools.view_actor import encode_view
-from sycamorecroft.routing.owner import Membership, QueueOwner
+from sycamorecroft.routing.owner import QueueMembership, QueueOwner
 from sycamorecroft.rpc.gossip import GossipCodec
 from sycamorecroft.store.interfaces import Put, StorePurpose
 
@@ -111,7 +111,7 @@
         digests = [d._replace(counter=self._counter) for d in self._peer_digests]
         message = self._peer_codec.encode(self._own, digests)
         self.state.merge(self._codec.decode(self._peer, message), self._counter)
-        self.state.advance(self.state.own)
+        self.state.start_round(self.state.own)
         self.state.view(self._counter)
         answer = self._codec.encode(self._peer, self.state.digests())
         self._peer_codec.decode(self._own, answer)
@@ -131,7 +131,7 @@
         PoolShape(f"p{number}", size, RACK_SIZE, 0.25)
         for number, size in enumerate(sizes)
     )
-    return MemoryFleet(pools, entries_count=9, host_list_lag_s=10.0, reboot_s=60.0)
+    return MemoryFleet(pools, entry_hosts_count=9, host_list_lag_s=10.0, reboot_s=60.0)
 
 
 def view_row(workers_count: int) -> Row:
@@ -212,7 +212,7 @@
 
 def owner_row(workers_count: int) -> Row:
     configuration, view = site_configuration(), site_view(workers_count)
-    members = Membership(frozenset({"e0"}), 1)
+    members = QueueMembership(frozenset({"e0"}), 1)
 
     def build() -> QueueOwner:
         return QueueOwner(SERVICES[0], configuration, view, members, 0.0)
--- a/src/sycamorecroft/cli/tests/test_fleet_commands.py
+++ b/src/sycamorecroft/cli/tests/test_fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands on the fleet against the operator interface over tables in memory."""
+"""Tests of the fleet commands against daemons whose tables are in memory."""
 
 import json
 import threading
@@ -9,7 +9,7 @@
 
 from standins.memory_fleet import MemoryFleet, PoolShape
 from standins.site import ROOT
-from sycamorecroft.admission.entry_limit import EntryLimit
+from sycamorecroft.admission.in_flight_limit import InFlightLimit
 from sycamorecroft.cli.exit_codes import ExitCode
 from sycamorecroft.cli.main import main
 from sycamorecroft.clock import SystemClock
@@ -24,13 +24,13 @@
 from sycamorecroft.entry.callers import CallerHandlers
 from sycamorecroft.entry.jobs import JobHandlers
 from sycamorecroft.entry.operator_interface import OperatorState, OperatorStores
-from sycamorecroft.entry.operators import operator_routes
-from sycamorecroft.entry.request_record import RequestRecords
+from sycamorecroft.entry.operator_routes import operator_routes
+from sycamorecroft.entry.request_records import RequestRecords
 from sycamorecroft.entry.request_report import RequestReporter
 from sycamorecroft.jobs import JobStore
 from sycamorecroft.maintenance import WaveStore
 from sycamorecroft.maintenance.explainer import MaintenanceExplainer
-from sycamorecroft.maintenance.situation import SituationReader
+from sycamorecroft.maintenance.snapshot import MaintenanceSnapshotReader
 from sycamorecroft.membership.state import MemberDigest, MembershipView
 from sycamorecroft.pools.inventory import InventoryStore
 from sycamorecroft.pools.move_requests import MoveRequestStore
@@ -42,29 +42,36 @@
 SITE = ROOT / "deployments" / "ondangwa"
 
 
-class SilentTelemetry:
+class NullTelemetry:
+    """Accepts and discards all measurements."""
+
     def __getattr__(self, name):
         return lambda *values: None
 
 
 class RefusingExecutor:
+    """Refuses every request because of its expected wait."""
+
     def execute(self, request, service):
         return Execution(Outcome.NOT_RUN, "expected_wait", None, 0, False)
 
 
 class Daemon:
-    """One daemon's HTTP interface; ``loses_response`` cuts responses off."""
+    """HTTP interface of one daemon.
+
+    ``loses_response`` truncates responses after the request was processed.
+    """
 
     def __init__(self, fleet, entry, configuration):
         tables, clock = fleet.connect(), fleet.clock
         self.loses_response = False
         self.records = RequestRecords(clock)
         digests = [
-            MemberDigest(name, "1", 1, 1, 1, 1, 0, True) for name in fleet.entries
+            MemberDigest(name, "1", 1, 1, 1, 1, 0, True) for name in fleet.entry_hosts
         ]
-        names = tuple(fleet.entries)
+        names = tuple(fleet.entry_hosts)
         membership = MembershipView(entry, names, names[:2], len(names), tuple(digests))
-        # Batches of submissions wait in real time.
+        # The job store waits for batches of submissions in real time.
         self.jobs = JobStore(tables, SystemClock())
         self.controller = fleet.maintenance(f"{entry}/1", tables)
         state = OperatorState(
@@ -77,7 +84,7 @@
             tuple,
             self.records,
         )
-        reader = SituationReader(tables, fleet.platform.hosts, clock)
+        reader = MaintenanceSnapshotReader(tables, fleet.platform.hosts, clock)
         stores = OperatorStores(
             ConfigurationStore(tables, clock),
             InventoryStore(tables),
@@ -88,10 +95,10 @@
         )
         callers = CallerHandlers(
             RefusingExecutor(),
-            EntryLimit(5),
+            InFlightLimit(5),
             lambda: configuration,
             clock,
-            RequestReporter(SilentTelemetry(), self.records, clock),
+            RequestReporter(NullTelemetry(), self.records, clock),
         )
         jobs = JobHandlers(self.jobs, lambda: configuration, SystemClock())
         routes = (*callers.routes(), *jobs.routes(), *operator_routes(state, stores))
@@ -109,7 +116,7 @@
 
 
 class Tool:
-    """Runs commands against the daemons."""
+    """Runs commands of the tool against the daemons."""
 
     def __init__(self, fleet, daemons, capsys):
         self.fleet = fleet
@@ -118,7 +125,7 @@
 
     def run(self, *arguments, code=ExitCode.SUCCESS):
         """
-        :returns: standard output, or standard error of a command that fails.
+        :returns: standard output, or standard error if a failure is expected.
         """
         self._capsys.readouterr()
         assert main(arguments) == code, self._capsys.readouterr()
@@ -136,7 +143,9 @@
     parameters = load_parameters(SITE / "street-safety-trust.jsonc")
     template = load_template(SITE / "template.jsonc")
     configuration = compile_configuration(template, [parameters], 1)
-    daemons = [Daemon(fleet, entry, configuration) for entry in list(fleet.entries)[:2]]
+    daemons = [
+        Daemon(fleet, entry, configuration) for entry in list(fleet.entry_hosts)[:2]
+    ]
     for daemon in daemons:
         daemon.jobs.start()
         daemon.thread.start()
@@ -152,8 +161,8 @@
         daemon.jobs.stop()
 
 
-def test_lost_response_of_a_declaration_can_be_repeated(tool):
-    """Guards against two waves for one declaration whose response was lost."""
+def test_declaration_can_be_repeated_after_lost_response(tool):
+    """Guards against a second wave when a declaration is repeated."""
     arguments = ("maintenance", "declare", "--pool", "rating", "--deadline", DEADLINE)
     tool.daemons[0].loses_response = True
     error = tool.run(*arguments, code=ExitCode.OUTCOME_UNKNOWN)
@@ -167,16 +176,16 @@
 
 
 def test_wave_is_watched_paused_and_explained(tool):
-    """Guards against a wave that waits without telling which entry host blocks it."""
+    """Guards against a waiting wave that doesn't name the entry host that blocks it."""
     wave = tool.run_json(
         "maintenance", "declare", "--pool", "rating", "--deadline", DEADLINE
     )
     assert "paused" in tool.run("maintenance", "pause", wave["id"])
-    explained = tool.run_json("maintenance", "explain", wave["id"])["hosts"]
-    assert {item["reason"] for item in explained} == {"wave_paused"}
+    explanations = tool.run_json("maintenance", "explain", wave["id"])["hosts"]
+    assert {item["reason"] for item in explanations} == {"wave_paused"}
     tool.run("maintenance", "resume", wave["id"])
-    frozen = next(iter(tool.fleet.entries.values()))
-    frozen.is_frozen = True
+    frozen_entry = next(iter(tool.fleet.entry_hosts.values()))
+    frozen_entry.is_frozen = True
     controller = tool.daemons[0].controller
     for _ in range(12):
         controller.step(tool.fleet.clock.now())
@@ -188,9 +197,9 @@
     assert list(dict.fromkeys(steps)) == [
         "inventory", "pool", "state", "move", "budget", "maintenance", "entry hosts",
     ]  # fmt: skip
-    assert findings[-1]["holds_up"] and frozen.name in findings[-1]["detail"]
+    assert findings[-1]["holds_up"] and frozen_entry.name in findings[-1]["detail"]
     watch = ("maintenance", "watch", wave["id"], "--limit-s", "0")
-    assert "it goes on" in tool.run(*watch, code=ExitCode.UNSUCCESSFUL)
+    assert "it continues" in tool.run(*watch, code=ExitCode.UNSUCCESSFUL)
     tool.run("maintenance", "cancel", wave["id"])
     tool.run(*watch, code=ExitCode.UNSUCCESSFUL)
     tool.run("maintenance", "resume", wave["id"], code=ExitCode.INVALID)
@@ -199,10 +208,10 @@
 def test_refused_request_is_explained_by_the_daemon_that_refused_it(tool):
     """Guards against refusals that only the daemon's log explains."""
     url = f"{tool.daemons[1].url}/v1/services/rating/requests"
-    answer = urllib3.request("POST", url, body=b"reading")
-    request_id = answer.headers["Sycamorecroft-Request-Id"]
+    response = urllib3.request("POST", url, body=b"reading")
+    request_id = response.headers["Sycamorecroft-Request-Id"]
     reply = tool.run_json("explain", "request", request_id)
-    assert reply["entry"] == list(tool.fleet.entries)[1]
+    assert reply["entry"] == list(tool.fleet.entry_hosts)[1]
     assert reply["record"]["reason"] == "expected_wait"
     error = tool.run("explain", "request", "none", code=ExitCode.NOT_FOUND)
     assert "these daemons didn't answer: http://127.0.0.1:1" in error
@@ -210,20 +219,20 @@
     assert any("1 requests not-run" in problem for problem in problems)
 
 
-def test_status_lists_what_is_wrong(tool):
-    """Guards against a status that shows figures but not that they are wrong."""
-    shown = tool.run("status")
-    for part in (
+def test_status_lists_problems(tool):
+    """Guards against a status that shows abnormal figures without naming a problem."""
+    output = tool.run("status")
+    for problem in (
         "daemon at http://127.0.0.1:1 doesn't answer",
-        f"entry host {list(tool.fleet.entries)[2]} is not reached",
+        f"entry host {list(tool.fleet.entry_hosts)[2]} is not reached",
         "pool rating has 4 of 8 configured hosts",
         "no daemon that answers owns the queue of service hotline",
     ):
-        assert part in shown
+        assert problem in output
 
 
 def test_hosts_moves_and_inventory(tool, tmp_path):
-    """Guards against a lost update of the inventory and moves of unknown hosts."""
+    """Guards against lost updates of the inventory and moves to unknown pools."""
     host = tool.run_json("hosts", "list", "--pool", "rating")["hosts"][0]["host"]
     assert tool.run_json("hosts", "show", host)["pool"] == "rating"
     tool.run("hosts", "show", "nowhere-1", code=ExitCode.NOT_FOUND)
@@ -244,7 +253,7 @@
 
 
 def test_jobs_are_submitted_once_followed_and_explained(tool):
-    """Guards against a job submitted twice, and one that waits without a reason."""
+    """Guards against duplicate jobs and against waiting jobs without a reason."""
     submit = ("jobs", "submit", "rate", "--service", "rating", "--team", "inspectors")
     job = tool.run_json(*submit)
     assert tool.run_json(*submit)["job_id"] == job["job_id"]
@@ -255,7 +264,7 @@
     assert [finding["step"] for finding in findings] == [
         "accepted", "state", "attempts", "placement", "quota", "cancellation",
     ]  # fmt: skip
-    assert "its end is asked for" in tool.run("jobs", "cancel", job["job_id"])
+    assert "cancellation requested" in tool.run("jobs", "cancel", job["job_id"])
     follow = ("jobs", "follow", job["job_id"], "--limit-s", "0")
     tool.run(*follow, code=ExitCode.UNSUCCESSFUL)
     tool.run("explain", "job", "none", code=ExitCode.INVALID)
@@ -267,8 +276,8 @@
      "maintenance declare"],
 )  # fmt: skip
 def test_help_has_an_example_and_the_exit_codes(command, capsys):
-    """Guards against commands that can't be learnt from the tool alone."""
+    """Guards against a command whose help lacks an example or the exit codes."""
     main([*command.split(), "--help"])
-    shown = capsys.readouterr().out
-    assert f"Example: sycamorecroft {command}" in shown
-    assert "6 outcome unknown" in " ".join(shown.split())
+    output = capsys.readouterr().out
+    assert f"Example: sycamorecroft {command}" in output
+    assert "6 outcome unknown" in " ".join(output.split())
--- a/src/sycamorecroft/daemon/operator_stores.py
+++ b/src/sycamorecroft/daemon/operator_stores.py
@@ -1,4 +1,4 @@
-"""Stores of the operator interface."""
+"""Creation of the stores that the operator interface uses."""
 
 from sycamorecroft.clock import Clock
 from sycamorecroft.configuration.store import ConfigurationStore
@@ -7,7 +7,7 @@
 from sycamorecroft.jobs import JobStore
 from sycamorecroft.maintenance import MaintenanceController, WaveStore
 from sycamorecroft.maintenance.explainer import MaintenanceExplainer
-from sycamorecroft.maintenance.situation import SituationReader
+from sycamorecroft.maintenance.snapshot import MaintenanceSnapshotReader
 from sycamorecroft.pools.inventory import InventoryStore
 from sycamorecroft.pools.move_requests import MoveRequestStore
 from sycamorecroft.store.interfaces import StorePurpose
@@ -20,8 +20,8 @@
     jobs: JobStore,
 ) -> OperatorStores:
     """
-    :returns: stores that spend the operators' part of the store budget where they
-        can; the history alone costs one read for each version.
+    :returns: stores that use the operators' share of the store budget where possible,
+        because the configuration history alone needs one read per version.
     """
     tables = platform.tables
     return OperatorStores(
@@ -30,7 +30,7 @@
         MoveRequestStore(tables),
         WaveStore(tables, clock),
         MaintenanceExplainer(
-            maintenance, SituationReader(tables, platform.host_list, clock)
+            maintenance, MaintenanceSnapshotReader(tables, platform.host_list, clock)
         ),
         jobs,
     )
--- a/src/sycamorecroft/daemon/request_path.py
+++ b/src/sycamorecroft/daemon/request_path.py
@@ -1,11 +1,11 @@
-"""Parts that carry a caller's request from admission to a backend server."""
+"""Components that process callers' requests, from admission to dispatch."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 import pykka
 
-from sycamorecroft.admission.entry_limit import EntryLimit
+from sycamorecroft.admission.in_flight_limit import InFlightLimit
 from sycamorecroft.claims.service import ClaimService
 from sycamorecroft.clock import Clock
 from sycamorecroft.daemon.store import PlatformClients
@@ -17,9 +17,9 @@
 
 
 class RequestPath(NamedTuple):
-    """Parts that all requests of an entry host share."""
+    """Components that all requests of an entry host share."""
 
-    limit: EntryLimit
+    limit: InFlightLimit
     claims: ClaimService
     dispatcher: Dispatcher
     executor: RequestExecutor
@@ -33,13 +33,14 @@
     wake: Callable[[], None],
 ) -> RequestPath:
     """
-    :param requester: reference of the actor that owns the slot requests.
-    :param wake: called before a slot is requested, so that ticks become frequent.
+    :param requester: reference to the actor that manages slot requests.
+    :param wake: called before each slot request, so that ticks become frequent.
+    :returns: components with the limits of the settings.
     """
-    limit = EntryLimit(
+    limit = InFlightLimit(
         1,
-        places_count=settings.admitted_limit_count,
-        body_budget_bytes=settings.in_flight_limit_bytes,
+        requests_limit_count=settings.admitted_limit_count,
+        body_limit_bytes=settings.in_flight_limit_bytes,
     )
     claims = ClaimService(platform.tables, platform.objects, clock)
     dispatcher = Dispatcher(clock, response_limit_bytes=settings.body_limit_bytes)
--- a/src/sycamorecroft/rpc/gossip.py
+++ b/src/sycamorecroft/rpc/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip messages in which unchanged digests are named by fingerprints."""
+"""Encoding of gossip messages, with heartbeats in place of unchanged digests."""
 
 from collections.abc import Iterable, Iterator
 from zlib import crc32
@@ -8,44 +8,47 @@
 from sycamorecroft.rpc.generated import peer_pb2
 
 
-class _Facts:
-    """A digest of a member and the fingerprint of what changes rarely in it."""
+class _DigestFingerprint:
+    """Digest of a member with the fingerprint of its rarely changing fields."""
 
     def __init__(self, digest: MemberDigest) -> None:
-        self.stable = _without_counters(digest)
+        self.stable = _without_heartbeat_fields(digest)
         self.fingerprint = crc32(encode_digest(self.stable).SerializeToString())
 
 
 class GossipCodec:
-    """Converts digests to messages for each peer and back.
+    """Converts digests to gossip messages for each peer and back.
 
-    Each message names all digests that its sender holds. A digest whose fingerprint the
-    peer named in its last message goes as a heartbeat: its counter and age without the
-    rest. A peer that restarted names nothing it lost, so it gets whole digests again. A
-    heartbeat with an unknown fingerprint is ignored, which two digests with the same
-    fingerprint only delay until the next change. Not thread-safe; the loop calls it.
+    Each message lists all digests that its sender knows. A digest whose fingerprint was
+    in the peer's last message is sent as a heartbeat, which carries only its counter
+    and store contact age. A peer that restarted no longer lists the digests it lost, so
+    it gets full digests again. A heartbeat with an unknown fingerprint is ignored. If
+    two digests have the same fingerprint, an update is delayed until the next change.
 
-    :param own_entry: name of this entry host.
+    Not thread-safe; called on the event loop only.
+
+    :param own_entry_host: name of this entry host.
     """
 
-    def __init__(self, own_entry: str) -> None:
-        self._own_entry = own_entry
-        self._facts: dict[str, _Facts] = {}
-        self._named: dict[str, dict[str, int]] = {}
+    def __init__(self, own_entry_host: str) -> None:
+        self._own_entry_host = own_entry_host
+        self._fingerprints: dict[str, _DigestFingerprint] = {}
+        self._peer_fingerprints: dict[str, dict[str, int]] = {}
 
     def encode(
         self, peer: str, digests: Iterable[MemberDigest]
     ) -> peer_pb2.GossipDigest:
         """
-        :param peer: name of the entry host that gets the message.
-        :param digests: all digests that this daemon holds; none asks for all of the
-            peer's.
+        :param peer: name of the entry host that receives the message.
+        :param digests: all digests that this daemon knows; an empty message requests
+            all digests of the peer in full.
+        :returns: the message, in which digests that the peer knows are heartbeats.
         """
-        named = self._named.get(peer, {})
+        peer_fingerprints = self._peer_fingerprints.get(peer, {})
         members, heartbeats = [], []
         for digest in digests:
             fingerprint = self._fingerprint(digest)
-            if named.get(digest.entry) != fingerprint:
+            if peer_fingerprints.get(digest.entry) != fingerprint:
                 members.append(encode_digest(digest))
                 continue
             heartbeat = peer_pb2.Heartbeat(
@@ -56,7 +59,7 @@
             )
             heartbeats.append(heartbeat)
         return peer_pb2.GossipDigest(
-            sender=self._own_entry, members=members, heartbeats=heartbeats
+            sender=self._own_entry_host, members=members, heartbeats=heartbeats
         )
 
     def decode(
@@ -64,31 +67,36 @@
     ) -> tuple[MemberDigest, ...]:
         """
         :param peer: name of the entry host that sent the message.
-        :returns: whole digests, and heartbeats of members whose digests are held.
+        :returns: full digests, and digests rebuilt from heartbeats whose fingerprint is
+            known here.
         """
         members = [decode_digest(member) for member in message.members]
-        named = {beat.entry: beat.fingerprint for beat in message.heartbeats}
-        named.update((digest.entry, _Facts(digest).fingerprint) for digest in members)
-        self._named[peer] = named
-        return (*members, *self._revive(message.heartbeats))
+        peer_fingerprints = {
+            heartbeat.entry: heartbeat.fingerprint for heartbeat in message.heartbeats
+        }
+        peer_fingerprints.update(
+            (digest.entry, _DigestFingerprint(digest).fingerprint) for digest in members
+        )
+        self._peer_fingerprints[peer] = peer_fingerprints
+        return (*members, *self._expand_heartbeats(message.heartbeats))
 
     def _fingerprint(self, digest: MemberDigest) -> int:
-        facts = self._facts.get(digest.entry)
-        if facts is None or facts.stable != _without_counters(digest):
-            facts = self._facts[digest.entry] = _Facts(digest)
-        return facts.fingerprint
+        known = self._fingerprints.get(digest.entry)
+        if known is None or known.stable != _without_heartbeat_fields(digest):
+            known = self._fingerprints[digest.entry] = _DigestFingerprint(digest)
+        return known.fingerprint
 
-    def _revive(
+    def _expand_heartbeats(
         self, heartbeats: Iterable[peer_pb2.Heartbeat]
     ) -> Iterator[MemberDigest]:
-        for beat in heartbeats:
-            facts = self._facts.get(beat.entry)
-            if facts is not None and facts.fingerprint == beat.fingerprint:
-                yield facts.stable._replace(
-                    counter=beat.counter,
-                    store_contact_age_ms=beat.store_contact_age_ms,
+        for heartbeat in heartbeats:
+            known = self._fingerprints.get(heartbeat.entry)
+            if known is not None and known.fingerprint == heartbeat.fingerprint:
+                yield known.stable._replace(
+                    counter=heartbeat.counter,
+                    store_contact_age_ms=heartbeat.store_contact_age_ms,
                 )
 
 
-def _without_counters(digest: MemberDigest) -> MemberDigest:
+def _without_heartbeat_fields(digest: MemberDigest) -> MemberDigest:
     return digest._replace(counter=0, store_contact_age_ms=0)
